--- a/Makefile
+++ b/Makefile
@@ -3,7 +3,7 @@
 VENV := .venv
 BIN := $(VENV)/bin
 
-.PHONY: demo test faults lint format load slopes forward latency converge settings binary soak gateway-cost gateway-load clean
+.PHONY: demo test faults lint format load slopes settings binary soak clean
 
 $(VENV)/.installed: pyproject.toml
 	$(PYTHON) -m venv $(VENV)
@@ -40,15 +40,6 @@
 slopes: $(VENV)/.installed
 	$(BIN)/python -m tools.slopes
 
-forward: $(VENV)/.installed
-	$(BIN)/python -m tools.forward
-
-latency: $(VENV)/.installed
-	$(BIN)/python -m tools.latency
-
-converge: $(VENV)/.installed
-	$(BIN)/python -m tools.converge
-
 faults: $(VENV)/.installed
 	$(BIN)/python -m tools.faults
 
@@ -57,9 +48,3 @@
 
 soak: $(VENV)/.installed
 	$(BIN)/python -m tools.soak $(if $(SEED),--seed $(SEED)) $(if $(MINUTES),--seconds $$(($(MINUTES) * 60)))
-
-gateway-cost: $(VENV)/.installed
-	$(BIN)/python -m tools.gateway_cost
-
-gateway-load: $(VENV)/.installed
-	$(BIN)/python -m tools.gateway_load $(LOAD)
--- a/standins/pool_server.py
+++ b/standins/pool_server.py
@@ -35,8 +35,6 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from standins.engine_model import EngineModel
-
 _READ_BYTES: Final = 65_536
 _MS: Final = 1000
 _RESET_ON_CLOSE: Final = struct.pack('ii', 1, 0)
@@ -86,9 +84,6 @@
         self.held: list[tuple[str, int]] = []
         # What goes wrong when it is asked for them; ``faults`` are for runs.
         self.held_fault = ''
-        # How long reading and events take; without it ``event_ms`` counts.
-        self._model: EngineModel | None = None
-        self._seen: set[str] = set()
         self._server = StreamServer(('127.0.0.1', port), self._serve)
         self._server.start()
 
@@ -97,15 +92,6 @@
         """``host:port`` where it listens."""
         return f'127.0.0.1:{self._server.server_port}'
 
-    def use_model(self, model: EngineModel, seen: set[str]) -> None:
-        """Take the time that an engine would take.
-
-        :param model: the engine.
-        :param seen: parts of prompts that the pool has read.
-        """
-        self._model = model
-        self._seen = seen
-
     def stop(self) -> None:
         """Refuse connections from now on."""
         self._server.stop(timeout=0)
@@ -280,19 +266,6 @@
         headers.append(('Content-Length', str(length)))
         return headers
 
-    def _read_prompt(self, run: Run) -> None:
-        if self._model is not None:
-            prefix = run.headers.get('x-prompt-prefix', '')
-            self._model.read(prefix, self._seen)
-
-    def _pause(self) -> None:
-        if self._model is None:
-            gevent.sleep(self.event_ms / _MS)
-            return
-        self._model.streams += 1
-        gevent.sleep(self._model.event_ms() / _MS)
-        self._model.streams -= 1
-
     def _answer_stream(
         self,
         sock: socket.socket,
@@ -302,7 +275,6 @@
     ) -> bool:
         if fault in {'error', 'reset', 'hang', 'garbage'}:
             return self._answer_whole(sock, http, run, fault)
-        self._read_prompt(run)
         headers = [
             ('X-Attempt-Id', run.call_id),
             ('X-Response-Seal', f'seal.{self.name}'),
@@ -312,7 +284,7 @@
         sock.sendall(_encode(http, response))
         first = int(run.headers.get('last-event-id', '0')) + 1
         for number in range(first, self.events + 1):
-            self._pause()
+            gevent.sleep(self.event_ms / _MS)
             event = f'id: {number}\ndata: {run.call_id} {number}\n\n'.encode()
             if fault == 'crash' and number > _CUT_AFTER:
                 self._server.close()
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Programs for developers: demo, load and slopes."""
+"""Programs for developers: demo, load, slopes and soak."""
--- a/tools/slopes/__main__.py
+++ b/tools/slopes/__main__.py
@@ -30,6 +30,7 @@
     resident_kb,
     time_us,
 )
+from tools.slopes.forwarding import measure_forwarding
 from tools.slopes.gateway import measure_gateway
 from tools.slopes.samples import (
     CLASSES,
@@ -330,6 +331,7 @@
     _measure_changes(copy)
     _measure_links(copy)
     measure_gateway()
+    measure_forwarding()
     out = pathlib.Path('out')
     out.mkdir(exist_ok=True)
     (out / 'slopes.json').write_bytes(
