--- a/wingfall/decision/endpoint_health.py
+++ b/wingfall/decision/endpoint_health.py
@@ -12,7 +12,6 @@
 _PEER_WEIGHT: Final = 0.1
 _MIN_EJECT_MS: Final = 500
 _MAX_EJECT_MS: Final = 4000
-_UNREACHABLE_IN_A_ROW: Final = 1
 _FADE_MS: Final = 5000
 
 
--- a/wingfall/gateway/binding.py
+++ b/wingfall/gateway/binding.py
@@ -130,14 +130,13 @@
 class AnswerHead:
     """What the head of an endpoint's answer means."""
 
-    __slots__ = ('call_id', 'foreign', 'not_run', 'retry_elsewhere', 'valid')
+    __slots__ = ('call_id', 'not_run', 'retry_elsewhere', 'valid')
 
     def __init__(
         self,
         *,
         call_id: str,
         not_run: bool,
-        foreign: bool,
         valid: bool,
         retry_elsewhere: bool,
     ) -> None:
@@ -145,13 +144,11 @@
 
         :param call_id: the request it says it answers, empty if it doesn't.
         :param not_run: whether it proves that the request did not run.
-        :param foreign: whether another endpoint has the address by now.
         :param valid: whether it can be the endpoint's true answer.
         :param retry_elsewhere: whether the run failed at this endpoint.
         """
         self.call_id = call_id
         self.not_run = not_run
-        self.foreign = foreign
         self.valid = valid
         self.retry_elsewhere = retry_elsewhere
 
--- a/wingfall/gateway/call.py
+++ b/wingfall/gateway/call.py
@@ -30,27 +30,21 @@
 class Prompt:
     """What is known of a prompt before it runs."""
 
-    __slots__ = ('max_output_tokens', 'model', 'output_tokens', 'parts')
+    __slots__ = ('output_tokens', 'parts')
 
     def __init__(
         self,
         *,
-        model: str = '',
         parts: tuple[PromptPart, ...] = (),
         output_tokens: int = 0,
-        max_output_tokens: int = 0,
     ) -> None:
         """Describe a prompt.
 
-        :param model: the model that it is for.
         :param parts: its pieces in order; the last is its own.
         :param output_tokens: likely length of the answer.
-        :param max_output_tokens: longest answer.
         """
-        self.model = model
         self.parts = parts
         self.output_tokens = output_tokens
-        self.max_output_tokens = max_output_tokens
 
     @property
     def tokens(self) -> int:
--- a/wingfall/gateway/endpoint_connection.py
+++ b/wingfall/gateway/endpoint_connection.py
@@ -62,7 +62,6 @@
         '_keep_ms',
         '_socket',
         '_writer',
-        'reused',
     )
 
     def __init__(self, *, sock: socket.socket, clock: Clock) -> None:
@@ -79,7 +78,6 @@
         self._writer: Greenlet | None = None
         self._idle_since_ms = 0
         self._keep_ms = _DEFAULT_KEEP_MS
-        self.reused = False
 
     @property
     def fresh_enough(self) -> bool:
@@ -149,7 +147,6 @@
             return False
         self._http.start_next_cycle()
         self._idle_since_ms = self._clock.now_ms()
-        self.reused = True
         return True
 
     def note_keep_alive(self, seconds: int) -> None:
--- a/wingfall/gateway/endpoints.py
+++ b/wingfall/gateway/endpoints.py
@@ -28,7 +28,6 @@
         'pool',
         'port',
         'slots',
-        'version',
         'zone',
     )
 
@@ -42,7 +41,6 @@
         zone: str,
         slots: int,
         draining: bool,
-        version: str = '',
     ) -> None:
         """Describe an endpoint.
 
@@ -53,7 +51,6 @@
         :param zone: its availability zone.
         :param slots: requests it runs at once.
         :param draining: whether it is about to leave.
-        :param version: version of its software.
         """
         self.name = name
         self.pool = pool
@@ -62,7 +59,6 @@
         self.zone = zone
         self.slots = slots
         self.draining = draining
-        self.version = version
 
 
 @final
--- a/wingfall/gateway/refusals.py
+++ b/wingfall/gateway/refusals.py
@@ -123,15 +123,6 @@
     return _unavailable('no_configuration', message, left_ms)
 
 
-def refuse_stopping(left_ms: int) -> Refusal:
-    """Refuse a call that came too late before a planned stop.
-
-    :param left_ms: time that the caller has left.
-    :returns: the refusal.
-    """
-    return _unavailable('stopping', 'This gateway is stopping.', left_ms)
-
-
 def refuse_request(status: int, code: str, message: str) -> Refusal:
     """Refuse a request that can't be served as it is.
 
--- a/wingfall/gateway/routes.py
+++ b/wingfall/gateway/routes.py
@@ -48,37 +48,29 @@
     __slots__ = (
         'backs_up',
         'copy_tokens_per_ms',
-        'health_path',
         'memory_tokens',
         'name',
-        'slots',
     )
 
     def __init__(
         self,
         *,
         name: str,
-        health_path: str,
         memory_tokens: int = 0,
-        slots: int = 0,
         copy_tokens_per_ms: float = 0,
         backs_up: bool = False,
     ) -> None:
         """Describe a pool.
 
         :param name: its name.
-        :param health_path: path that tells an endpoint's own belief.
         :param memory_tokens: prompt tokens an engine of it can hold; 0 for
             plain services.
-        :param slots: requests an engine of it runs at once, 0 if unknown.
         :param copy_tokens_per_ms: kept tokens that engines copy from each
             other in a millisecond, 0 if they don't.
         :param backs_up: whether engines keep copies of each other's runs.
         """
         self.name = name
-        self.health_path = health_path
         self.memory_tokens = memory_tokens
-        self.slots = slots
         self.copy_tokens_per_ms = copy_tokens_per_ms
         self.backs_up = backs_up
 
--- a/wingfall/log.py
+++ b/wingfall/log.py
@@ -12,8 +12,6 @@
 if TYPE_CHECKING:
     from collections.abc import MutableMapping
 
-_FIRST_WARNING = logging.WARNING
-
 
 class PartLogger(logging.LoggerAdapter[logging.Logger]):
     """Put the name of a part before each of its messages."""
--- a/wingfall/platform/documents.py
+++ b/wingfall/platform/documents.py
@@ -67,7 +67,6 @@
                 zone=spec.get('zone', ''),
                 slots=int(spec.get('slots') or 1),
                 draining=spec.get('state') == 'draining',
-                version=str(spec.get('version', '')),
             ),
         )
     except _UNREADABLE as error:
@@ -128,9 +127,7 @@
     engine = raw.get('engine') or {}
     return Pool(
         name=raw['name'],
-        health_path=raw.get('health_path', '/'),
         memory_tokens=int(engine.get('kv_capacity_tokens', 0)),
-        slots=int(engine.get('slots', 0)),
         copy_tokens_per_ms=_read_copy_rate(engine),
         backs_up=bool(engine.get('backups')),
     )
--- a/wingfall/platform/headers.py
+++ b/wingfall/platform/headers.py
@@ -18,7 +18,6 @@
 _CUSTOMER: Final = b'X-Tenant'
 _TIER: Final = b'X-Request-Priority'
 _LAST_EVENT: Final = b'last-event-id'
-_MODEL: Final = b'x-model'
 _TOKENS: Final = b'x-token-count'
 _PARTS: Final = b'x-prompt-prefix'
 _LENGTH_HINT: Final = b'x-length-hint'
@@ -139,7 +138,6 @@
     return AnswerHead(
         call_id=_text(first.get(_CALL_ID)),
         not_run=foreign or _NOT_RUN in first,
-        foreign=foreign,
         valid=b'content-encoding' not in first,
         retry_elsewhere=status >= _SERVER_ERROR,
     )
@@ -218,10 +216,8 @@
         whole = _number(counts[0].encode()) or 0
         parts = (PromptPart(part_id='', tokens=whole),)
     return Prompt(
-        model=_text(first.get(_MODEL)),
         parts=parts,
         output_tokens=most if hint is None else min(hint, most or hint),
-        max_output_tokens=most,
     )
 
 
