--- a/tests/fake_connection.py
+++ b/tests/fake_connection.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, final
 
-from wingfall.gateway.peer_session import PeerSession
+from wingfall.gateway.peers.peer_session import PeerSession
 from wingfall.wire.gateway_messages import GatewayHello
 
 if TYPE_CHECKING:
--- a/tests/test_caller_connection.py
+++ b/tests/test_caller_connection.py
@@ -11,9 +11,9 @@
 
 from tests.gateway_site import GatewaySite
 from wingfall.clock import ManualClock
-from wingfall.decision.placement import placements
 from wingfall.gateway.assembly import make_state
-from wingfall.gateway.caller_connection import CallerConnection
+from wingfall.gateway.callers.caller_connection import CallerConnection
+from wingfall.gateway.rules.placement import placements
 from wingfall.metrics import Metrics
 
 if TYPE_CHECKING:
@@ -116,7 +116,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ):
     """The bound of a write is for a piece of the answer, not for all of it."""
-    monkeypatch.setattr('wingfall.gateway.caller_connection._WRITE_MS', 400)
+    monkeypatch.setattr(
+        'wingfall.gateway.callers.caller_connection._WRITE_MS', 400
+    )
     caller, accepted = sockets
     caller.settimeout(5)
     accepted.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 32_768)
--- a/tests/test_early_listener.py
+++ b/tests/test_early_listener.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from wingfall.gateway.early_listener import listen_early
+from wingfall.gateway.callers.early_listener import listen_early
 
 
 def test_connections_are_taken(tmp_path: pathlib.Path):
--- a/tests/test_gateway_follower.py
+++ b/tests/test_gateway_follower.py
@@ -13,9 +13,13 @@
 from tests.local_site import wait_until
 from wingfall.clock import MS_PER_S, WallClock
 from wingfall.errors import PlatformError
-from wingfall.gateway.binding import StoredObject, StoreReading
-from wingfall.gateway.follower import REST_MS, StoreFollower, retry_ms
-from wingfall.gateway.replica import ROUTES_KIND, ObjectReplica
+from wingfall.gateway.configuration.follower import (
+    REST_MS,
+    StoreFollower,
+    retry_ms,
+)
+from wingfall.gateway.configuration.replica import ROUTES_KIND, ObjectReplica
+from wingfall.gateway.model.object_store import StoredObject, StoreReading
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
--- a/tests/test_gateway_load.py
+++ b/tests/test_gateway_load.py
@@ -5,17 +5,18 @@
 import pytest
 
 from wingfall.clock import ManualClock
-from wingfall.decision.decaying_sum import DecayingSum
-from wingfall.gateway.binding import StoredObject, StoreReading
-from wingfall.gateway.endpoints import EndpointTable, PoolEndpoint
-from wingfall.gateway.event_stream import EventSplitter
-from wingfall.gateway.load import EndpointLoad, LoadTable
-from wingfall.gateway.load_entries import (
+from wingfall.gateway.configuration.replica import ObjectReplica
+from wingfall.gateway.endpoints.endpoint_table import EndpointTable
+from wingfall.gateway.endpoints.event_stream import EventSplitter
+from wingfall.gateway.endpoints.load import EndpointLoad, LoadTable
+from wingfall.gateway.model.object_store import StoredObject, StoreReading
+from wingfall.gateway.model.pool_endpoint import PoolEndpoint
+from wingfall.gateway.peers.load_entries import (
     read_loads,
     write_loads,
     write_work,
 )
-from wingfall.gateway.replica import ObjectReplica
+from wingfall.gateway.rules.decaying_sum import DecayingSum
 
 # Milliseconds for which an entry that went without notice is still used.
 MOST_LAPSE_MS = 600
--- a/tests/test_heartbeat_schedule.py
+++ b/tests/test_heartbeat_schedule.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from wingfall.gateway.heartbeat_schedule import (
+from wingfall.gateway.peers.heartbeat_schedule import (
     HeartbeatDue,
     HeartbeatSchedule,
     interval_ms,
--- a/tests/test_load_exchange.py
+++ b/tests/test_load_exchange.py
@@ -8,14 +8,14 @@
 import pytest
 
 from wingfall.clock import ManualClock
-from wingfall.decision.endpoint_health import EndpointHealth
-from wingfall.gateway.call import PromptPart
-from wingfall.gateway.endpoints import EndpointTable
-from wingfall.gateway.load import EndpointLoad, LoadTable
-from wingfall.gateway.load_exchange import LoadExchange
-from wingfall.gateway.peer_session import PeerSession
-from wingfall.gateway.relay_choice import find_relay
-from wingfall.gateway.state import PrefixCaches, SentPrompt
+from wingfall.gateway.endpoints.endpoint_table import EndpointTable
+from wingfall.gateway.endpoints.load import EndpointLoad, LoadTable
+from wingfall.gateway.model.prompt import PromptPart
+from wingfall.gateway.peers.load_exchange import LoadExchange
+from wingfall.gateway.peers.peer_session import PeerSession
+from wingfall.gateway.peers.relay_choice import find_relay
+from wingfall.gateway.rules.endpoint_health import EndpointHealth
+from wingfall.gateway.rules.prefix_caches import PrefixCaches, SentPrompt
 from wingfall.wire.gateway_messages import GatewayHello, ZoneLoads
 
 TICK_MS = 100
@@ -258,7 +258,7 @@
 ):
     told: list[tuple[str, str]] = []
     monkeypatch.setattr(
-        'wingfall.gateway.load_exchange.log_event',
+        'wingfall.gateway.peers.load_exchange.log_event',
         lambda part, sentence, **fields: told.append(
             (sentence, fields.get('relay') or fields['zone']),
         ),
--- a/tests/test_object_exchange.py
+++ b/tests/test_object_exchange.py
@@ -10,14 +10,14 @@
 from tests.fake_connection import make_peer
 from wingfall.clock import ManualClock
 from wingfall.errors import WireError
-from wingfall.gateway.binding import StoredObject, StoreReading
-from wingfall.gateway.object_exchange import ObjectExchange
-from wingfall.gateway.object_transfer import CHUNK_BYTES
-from wingfall.gateway.replica import ROUTES_KIND, ObjectReplica
+from wingfall.gateway.configuration.replica import ROUTES_KIND, ObjectReplica
+from wingfall.gateway.model.object_store import StoredObject, StoreReading
+from wingfall.gateway.peers.object_exchange import ObjectExchange
+from wingfall.gateway.peers.object_transfer import CHUNK_BYTES
 from wingfall.wire.gateway_messages import ObjectsFetch, ObjectsPage
 
 if TYPE_CHECKING:
-    from wingfall.gateway.peer_session import PeerSession
+    from wingfall.gateway.peers.peer_session import PeerSession
 
 ZONE = 'osl-a'
 
--- a/tests/test_parts_transfer.py
+++ b/tests/test_parts_transfer.py
@@ -10,14 +10,14 @@
 
 from tests.fake_connection import make_peer
 from wingfall.clock import ManualClock
-from wingfall.gateway.call import PromptPart
-from wingfall.gateway.memory_survey import choose_engines
-from wingfall.gateway.parts_transfer import PartsTransfer
-from wingfall.gateway.state import PrefixCaches
+from wingfall.gateway.model.prompt import PromptPart
+from wingfall.gateway.peers.memory_survey import choose_engines
+from wingfall.gateway.peers.parts_transfer import PartsTransfer
+from wingfall.gateway.rules.prefix_caches import PrefixCaches
 from wingfall.wire.gateway_messages import PartsFetch
 
 if TYPE_CHECKING:
-    from wingfall.gateway.peer_session import PeerSession
+    from wingfall.gateway.peers.peer_session import PeerSession
 
 ZONE = 'osl-a'
 PARTS = [PromptPart(part_id='p1', tokens=500)]
@@ -156,7 +156,7 @@
     names = [f'gateway-{number}' for number in range(100)]
     engines = [SimpleNamespace(name=f'e{number}') for number in range(2000)]
     monkeypatch.setattr(
-        'wingfall.gateway.memory_survey.hashlib',
+        'wingfall.gateway.peers.memory_survey.hashlib',
         SimpleNamespace(sha256=count),
     )
     assert choose_engines(names[0], names, engines)
--- a/tests/test_peer_sessions.py
+++ b/tests/test_peer_sessions.py
@@ -11,7 +11,7 @@
 
 from tests.gateway_site import HOST, GatewaySite
 from tests.local_site import wait_until
-from wingfall.gateway.ranking import rank
+from wingfall.gateway.peers.ranking import rank
 from wingfall.wire.connection import Connection
 from wingfall.wire.gateway_messages import GatewayHello
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from wingfall.decision.placement import (
+from wingfall.gateway.rules.placement import (
     Candidate,
     Demand,
     held_up_streams,
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -4,10 +4,14 @@
 
 import pytest
 
-from wingfall.gateway.binding import Sending
-from wingfall.gateway.call import Call
-from wingfall.gateway.endpoints import PoolEndpoint
-from wingfall.gateway.routes import GatewayCustomer, Route, WeightedPool
+from wingfall.gateway.model.binding import Sending
+from wingfall.gateway.model.call import Call
+from wingfall.gateway.model.pool_endpoint import PoolEndpoint
+from wingfall.gateway.model.routes import (
+    GatewayCustomer,
+    Route,
+    WeightedPool,
+)
 from wingfall.objects.request_class import Target
 from wingfall.platform.headers import endpoint_headers, read_call
 
--- a/tests/test_recent_reads.py
+++ b/tests/test_recent_reads.py
@@ -5,7 +5,7 @@
 import pytest
 
 from wingfall.clock import ManualClock
-from wingfall.decision.recent_reads import RecentReads
+from wingfall.gateway.rules.recent_reads import RecentReads
 
 
 def test_reads_fade(clock: ManualClock):
--- a/tests/test_resend_budget.py
+++ b/tests/test_resend_budget.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from wingfall.clock import ManualClock
-from wingfall.decision.resend_budget import ResendBudget
+from wingfall.gateway.rules.resend_budget import ResendBudget
 
 
 def make(clock: ManualClock, **changes: Any) -> ResendBudget:
--- a/tests/test_shared_read.py
+++ b/tests/test_shared_read.py
@@ -6,7 +6,7 @@
 
 from tests.gateway_site import GatewaySite
 from tests.local_site import wait_until
-from wingfall.decision.shared_read import (
+from wingfall.gateway.rules.shared_read import (
     PendingRead,
     read_at_once,
     wait_for_read,
--- a/tests/test_token_gap_watch.py
+++ b/tests/test_token_gap_watch.py
@@ -5,9 +5,9 @@
 import pytest
 
 from wingfall.clock import ManualClock
-from wingfall.decision.engine_speed import EngineSpeed
-from wingfall.gateway.load import EndpointLoad, LoadTable
-from wingfall.gateway.token_gap_watch import TokenGapWatch
+from wingfall.gateway.calls.token_gap_watch import TokenGapWatch
+from wingfall.gateway.endpoints.load import EndpointLoad, LoadTable
+from wingfall.gateway.rules.engine_speed import EngineSpeed
 
 
 def make_watch(
--- a/tests/test_watch_duty.py
+++ b/tests/test_watch_duty.py
@@ -5,10 +5,10 @@
 from typing import TYPE_CHECKING
 
 from tests.fake_connection import make_peer
-from wingfall.gateway.watch_duty import WATCHERS, WatchDuty
+from wingfall.gateway.peers.watch_duty import WATCHERS, WatchDuty
 
 if TYPE_CHECKING:
-    from wingfall.gateway.peer_session import PeerSession
+    from wingfall.gateway.peers.peer_session import PeerSession
 
 GATEWAYS = 30
 
--- a/tools/slopes/gateway.py
+++ b/tools/slopes/gateway.py
@@ -7,16 +7,17 @@
 
 from tools.slopes.figures import memory, note, time_us
 from wingfall.clock import ManualClock
-from wingfall.decision.endpoint_health import EndpointHealth
-from wingfall.decision.placement import Candidate, Demand, place_by_reading
-from wingfall.decision.prefix_cache import PrefixCache
-from wingfall.gateway.binding import StoredObject, StoreReading
-from wingfall.gateway.call import Prompt, PromptPart
-from wingfall.gateway.chooser import choose_endpoint
-from wingfall.gateway.endpoints import EndpointTable, PoolEndpoint
-from wingfall.gateway.load import LoadTable
-from wingfall.gateway.replica import ObjectReplica
-from wingfall.gateway.state import PrefixCaches
+from wingfall.gateway.calls.chooser import choose_endpoint
+from wingfall.gateway.configuration.replica import ObjectReplica
+from wingfall.gateway.endpoints.endpoint_table import EndpointTable
+from wingfall.gateway.endpoints.load import LoadTable
+from wingfall.gateway.model.object_store import StoredObject, StoreReading
+from wingfall.gateway.model.pool_endpoint import PoolEndpoint
+from wingfall.gateway.model.prompt import Prompt, PromptPart
+from wingfall.gateway.rules.endpoint_health import EndpointHealth
+from wingfall.gateway.rules.placement import Candidate, Demand, place_by_reading
+from wingfall.gateway.rules.prefix_cache import PrefixCache
+from wingfall.gateway.rules.prefix_caches import PrefixCaches
 from wingfall.wire.codec import FrameDecoder, encode
 from wingfall.wire.gateway_messages import GatewayHeartbeat
 
--- a/wingfall/gateway/__main__.py
+++ b/wingfall/gateway/__main__.py
@@ -12,7 +12,7 @@
 import socket
 import sys
 
-from wingfall.gateway.early_listener import listen_early
+from wingfall.gateway.callers.early_listener import listen_early
 
 
 def main() -> int:
--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -11,20 +11,20 @@
 
 from wingfall.clock import MS_PER_S
 from wingfall.gateway.assembly import make_state
-from wingfall.gateway.call import PromptPart
-from wingfall.gateway.caller_connection import CallerConnection
-from wingfall.gateway.early_listener import BACKLOG
-from wingfall.gateway.follower import StoreFollower
-from wingfall.gateway.memory_survey import MemorySurvey
-from wingfall.gateway.object_applier import ObjectApplier
-from wingfall.gateway.parts_transfer import PartsTransfer
-from wingfall.gateway.peers import GatewayPeers
-from wingfall.gateway.readiness import make_ready_app
-from wingfall.gateway.replica import (
+from wingfall.gateway.callers.caller_connection import CallerConnection
+from wingfall.gateway.callers.early_listener import BACKLOG
+from wingfall.gateway.callers.readiness import make_ready_app
+from wingfall.gateway.configuration.follower import StoreFollower
+from wingfall.gateway.configuration.object_applier import ObjectApplier
+from wingfall.gateway.configuration.replica import (
     ENDPOINTS_KIND,
     ROUTES_KIND,
     ObjectReplica,
 )
+from wingfall.gateway.model.prompt import PromptPart
+from wingfall.gateway.peers.gateway_peers import GatewayPeers
+from wingfall.gateway.peers.memory_survey import MemorySurvey
+from wingfall.gateway.peers.parts_transfer import PartsTransfer
 from wingfall.http_server import HttpServer
 from wingfall.log import log_event
 from wingfall.program import Program
@@ -35,8 +35,8 @@
     import socket
     from types import SimpleNamespace
 
-    from wingfall.gateway.binding import ObjectStore
-    from wingfall.gateway.endpoints import EndpointTable
+    from wingfall.gateway.endpoints.endpoint_table import EndpointTable
+    from wingfall.gateway.model.object_store import ObjectStore
 
 _WATCH_SLACK_MS: Final = 1000
 _FIRST_CONFIG_MS: Final = 500
--- a/wingfall/gateway/assembly.py
+++ b/wingfall/gateway/assembly.py
@@ -5,17 +5,17 @@
 from typing import TYPE_CHECKING, Any, Final
 
 from wingfall.clock import MS_PER_S
-from wingfall.decision.cache_transfer import cache_transfers
-from wingfall.decision.early_refusal import admissions
-from wingfall.decision.endpoint_health import EndpointHealth
-from wingfall.decision.placement import placements
-from wingfall.decision.resend_budget import ResendBudget
-from wingfall.decision.shared_read import shared_reads
-from wingfall.decision.stream_backup import stream_backups
-from wingfall.gateway.binding import bindings
-from wingfall.gateway.endpoint_connection import KeptConnections
-from wingfall.gateway.endpoints import EndpointTable
-from wingfall.gateway.load import LoadTable
+from wingfall.gateway.endpoints.endpoint_connection import KeptConnections
+from wingfall.gateway.endpoints.endpoint_table import EndpointTable
+from wingfall.gateway.endpoints.load import LoadTable
+from wingfall.gateway.model.binding import bindings
+from wingfall.gateway.rules.cache_transfer import cache_transfers
+from wingfall.gateway.rules.early_refusal import admissions
+from wingfall.gateway.rules.endpoint_health import EndpointHealth
+from wingfall.gateway.rules.placement import placements
+from wingfall.gateway.rules.resend_budget import ResendBudget
+from wingfall.gateway.rules.shared_read import shared_reads
+from wingfall.gateway.rules.stream_backup import stream_backups
 from wingfall.gateway.state import GatewayState
 from wingfall.platform import binding as fjordgrid
 
--- /dev/null
+++ b/wingfall/gateway/callers/__init__.py
@@ -0,0 +1,1 @@
+"""The callers' side: their connections, early listening, readiness."""
--- a/wingfall/gateway/caller_connection.py
+++ b/wingfall/gateway/callers/caller_connection.py
@@ -13,21 +13,21 @@
 from returns.result import Success
 
 from wingfall.clock import MS_PER_S
-from wingfall.gateway.dispatcher import Dispatch, ReplyCutError
-from wingfall.gateway.final_answer import (
+from wingfall.gateway.calls.dispatcher import Dispatch, ReplyCutError
+from wingfall.gateway.calls.final_answer import (
     JSON,
     note_answer,
     send_refusal,
 )
-from wingfall.gateway.intake import accept_call
-from wingfall.gateway.refusals import (
+from wingfall.gateway.calls.intake import accept_call
+from wingfall.gateway.calls.refusals import (
     BAD_REQUEST,
     TOO_LARGE,
     refuse_fault,
     refuse_request,
 )
-from wingfall.gateway.reply import Reply
-from wingfall.gateway.routes import CallerLimits
+from wingfall.gateway.calls.reply import Reply
+from wingfall.gateway.model.routes import CallerLimits
 from wingfall.http_server import is_readable
 from wingfall.log import log_event
 from wingfall.wire.connection import send_all, set_no_delay
@@ -36,7 +36,7 @@
     from gevent import Greenlet
 
     from wingfall.errors import Refusal
-    from wingfall.gateway.call import Call, CallHead
+    from wingfall.gateway.model.call import Call, CallHead
     from wingfall.gateway.state import GatewayState
 
 _READ_BYTES: Final = 65_536
--- a/wingfall/gateway/attempt.py
+++ b/wingfall/gateway/calls/attempt.py
@@ -8,23 +8,23 @@
 
 import h11
 
-from wingfall.gateway.binding import Sending
-from wingfall.gateway.endpoint_connection import (
+from wingfall.gateway.endpoints.endpoint_connection import (
     AnswerBrokenError,
     AnswerLateError,
     NotConnectedError,
 )
-from wingfall.gateway.event_stream import EventSplitter
+from wingfall.gateway.endpoints.event_stream import EventSplitter
+from wingfall.gateway.model.binding import Sending
 
 if TYPE_CHECKING:
-    from wingfall.gateway.binding import AnswerHead, Binding
-    from wingfall.gateway.call import Call, Headers
-    from wingfall.gateway.endpoint_connection import (
+    from wingfall.gateway.calls.reply import Reply
+    from wingfall.gateway.endpoints.endpoint_connection import (
         EndpointConnection,
         KeptConnections,
     )
-    from wingfall.gateway.endpoints import PoolEndpoint
-    from wingfall.gateway.reply import Reply
+    from wingfall.gateway.model.binding import AnswerHead, Binding
+    from wingfall.gateway.model.call import Call, Headers
+    from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 
 _OK: Final = 200
 _EVENT_STREAM: Final = b'text/event-stream'
--- a/wingfall/gateway/chooser.py
+++ b/wingfall/gateway/calls/chooser.py
@@ -5,14 +5,15 @@
 import random
 from typing import TYPE_CHECKING, Final, final
 
-from wingfall.decision.cache_transfer import MOST_FAILING, copied_tokens
-from wingfall.decision.placement import Candidate, Demand
-from wingfall.decision.stream_backup import RunLength
-from wingfall.gateway.load import EndpointLoad
+from wingfall.gateway.endpoints.load import EndpointLoad
+from wingfall.gateway.rules.cache_transfer import MOST_FAILING, copied_tokens
+from wingfall.gateway.rules.placement import Candidate, Demand
+from wingfall.gateway.rules.stream_backup import RunLength
 
 if TYPE_CHECKING:
-    from wingfall.gateway.call import Call, Prompt
-    from wingfall.gateway.endpoints import PoolEndpoint
+    from wingfall.gateway.model.call import Call
+    from wingfall.gateway.model.pool_endpoint import PoolEndpoint
+    from wingfall.gateway.model.prompt import Prompt
     from wingfall.gateway.state import GatewayState
 
 # Pools up to this size are considered whole.
--- a/wingfall/gateway/dispatcher.py
+++ b/wingfall/gateway/calls/dispatcher.py
@@ -8,34 +8,34 @@
 
 from returns.result import Success
 
-from wingfall.decision.early_refusal import StartEstimate
 from wingfall.errors import RunState
-from wingfall.gateway.attempt import (
+from wingfall.gateway.calls.attempt import (
     Attempt,
     AttemptEnd,
     AttemptLimits,
     AttemptOutcome,
     WholeAnswer,
 )
-from wingfall.gateway.chooser import Choice, choose_endpoint
-from wingfall.gateway.refusals import (
+from wingfall.gateway.calls.chooser import Choice, choose_endpoint
+from wingfall.gateway.calls.refusals import (
     refuse_early,
     refuse_late,
     refuse_lost,
     refuse_no_endpoint,
     refuse_not_run,
 )
-from wingfall.gateway.shared_read_wait import await_shared_read
-from wingfall.gateway.state import SentPrompt
-from wingfall.gateway.stream_continuation import find_continuation
-from wingfall.gateway.token_gap_watch import TokenGapWatch
+from wingfall.gateway.calls.shared_read_wait import await_shared_read
+from wingfall.gateway.calls.stream_continuation import find_continuation
+from wingfall.gateway.calls.token_gap_watch import TokenGapWatch
+from wingfall.gateway.rules.early_refusal import StartEstimate
+from wingfall.gateway.rules.prefix_caches import SentPrompt
 from wingfall.log import log_event
 
 if TYPE_CHECKING:
     from wingfall.errors import Refusal
-    from wingfall.gateway.call import Call
-    from wingfall.gateway.load import LoadEntry
-    from wingfall.gateway.reply import Reply
+    from wingfall.gateway.calls.reply import Reply
+    from wingfall.gateway.endpoints.load import LoadEntry
+    from wingfall.gateway.model.call import Call
     from wingfall.gateway.state import GatewayState
 
 # An attempt that could still be followed by another gives up its wait for
--- a/wingfall/gateway/final_answer.py
+++ b/wingfall/gateway/calls/final_answer.py
@@ -11,8 +11,8 @@
 
 if TYPE_CHECKING:
     from wingfall.errors import Refusal
-    from wingfall.gateway.call import Call, CallHead
-    from wingfall.gateway.reply import Reply
+    from wingfall.gateway.calls.reply import Reply
+    from wingfall.gateway.model.call import Call, CallHead
     from wingfall.gateway.state import GatewayState
 
 JSON: Final = (b'Content-Type', b'application/json')
--- a/wingfall/gateway/intake.py
+++ b/wingfall/gateway/calls/intake.py
@@ -6,18 +6,22 @@
 
 from returns.result import Failure, Result, Success
 
-from wingfall.gateway.call import Call
-from wingfall.gateway.refusals import (
+from wingfall.gateway.calls.refusals import (
     NOT_FOUND,
     UNAUTHORIZED,
     refuse_no_routes,
     refuse_request,
 )
+from wingfall.gateway.model.call import Call
 
 if TYPE_CHECKING:
     from wingfall.errors import Refusal
-    from wingfall.gateway.call import CallHead
-    from wingfall.gateway.routes import GatewayCustomer, Route, Routes
+    from wingfall.gateway.model.call import CallHead
+    from wingfall.gateway.model.routes import (
+        GatewayCustomer,
+        Route,
+        Routes,
+    )
 
 DEFAULT_TIMEOUT_MS: Final = 30_000
 # Final answers leave a little before the caller stops waiting.
--- a/wingfall/gateway/reply.py
+++ b/wingfall/gateway/calls/reply.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from wingfall.gateway.call import Headers
+    from wingfall.gateway.model.call import Headers
 
 _REASONS: Final = {503: b'Service Unavailable', 429: b'Too Many Requests'}
 
--- a/wingfall/gateway/shared_read_wait.py
+++ b/wingfall/gateway/calls/shared_read_wait.py
@@ -10,8 +10,8 @@
 from wingfall.log import log_event
 
 if TYPE_CHECKING:
-    from wingfall.gateway.call import Call
-    from wingfall.gateway.chooser import Choice
+    from wingfall.gateway.calls.chooser import Choice
+    from wingfall.gateway.model.call import Call
     from wingfall.gateway.state import GatewayState
 
 _POLL_MS: Final = 5
--- a/wingfall/gateway/stream_continuation.py
+++ b/wingfall/gateway/calls/stream_continuation.py
@@ -4,20 +4,20 @@
 
 from typing import TYPE_CHECKING
 
-from wingfall.gateway.attempt import AttemptEnd
-from wingfall.gateway.chooser import (
+from wingfall.gateway.calls.attempt import AttemptEnd
+from wingfall.gateway.calls.chooser import (
     Choice,
     added_load,
     describe,
     describe_demand,
 )
-from wingfall.gateway.endpoint_connection import refuses_connections
+from wingfall.gateway.endpoints.endpoint_connection import refuses_connections
 
 if TYPE_CHECKING:
-    from wingfall.gateway.attempt import AttemptOutcome
-    from wingfall.gateway.call import Call
-    from wingfall.gateway.endpoints import PoolEndpoint
-    from wingfall.gateway.reply import Reply
+    from wingfall.gateway.calls.attempt import AttemptOutcome
+    from wingfall.gateway.calls.reply import Reply
+    from wingfall.gateway.model.call import Call
+    from wingfall.gateway.model.pool_endpoint import PoolEndpoint
     from wingfall.gateway.state import GatewayState
 
 
--- a/wingfall/gateway/follower.py
+++ b/wingfall/gateway/configuration/follower.py
@@ -18,8 +18,8 @@
 
     from wingfall.clock import Clock
     from wingfall.errors import PlatformError
-    from wingfall.gateway.binding import ObjectStore, StoreReading
-    from wingfall.gateway.replica import ObjectReplica
+    from wingfall.gateway.configuration.replica import ObjectReplica
+    from wingfall.gateway.model.object_store import ObjectStore, StoreReading
 
 _GONE: Final = 410
 _MIN_RETRY_MS: Final = 100
--- a/wingfall/gateway/replica.py
+++ b/wingfall/gateway/configuration/replica.py
@@ -8,10 +8,10 @@
 
 from typing import TYPE_CHECKING, Any, Callable, Final, final
 
-from wingfall.gateway.binding import StoredObject
+from wingfall.gateway.model.object_store import StoredObject
 
 if TYPE_CHECKING:
-    from wingfall.gateway.binding import StoreReading
+    from wingfall.gateway.model.object_store import StoreReading
 
 ROUTES_KIND: Final = 'routes'
 ENDPOINTS_KIND: Final = 'endpoints'
--- /dev/null
+++ b/wingfall/gateway/endpoints/__init__.py
@@ -0,0 +1,1 @@
+"""The endpoints' side: which there are, connections, and what runs there."""
--- a/wingfall/gateway/endpoint_connection.py
+++ b/wingfall/gateway/endpoints/endpoint_connection.py
@@ -16,8 +16,8 @@
     from gevent import Greenlet
 
     from wingfall.clock import Clock
-    from wingfall.gateway.call import Headers
-    from wingfall.gateway.endpoints import PoolEndpoint
+    from wingfall.gateway.model.call import Headers
+    from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 
 _READ_BYTES: Final = 65_536
 _DIRECT_BYTES: Final = 4096
--- a/wingfall/gateway/endpoints.py
+++ b/wingfall/gateway/endpoints/endpoint_table.py
@@ -8,6 +8,7 @@
 
 if TYPE_CHECKING:
     from wingfall.clock import Clock
+    from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 
 # An entry that went without notice may only have lapsed in the store. Its
 # endpoint stays usable for this many milliseconds, but only where at least
@@ -17,50 +18,6 @@
 _LAPSE_MS: Final = 600
 
 
-@final
-class PoolEndpoint:
-    """An endpoint of a pool as the platform lists it."""
-
-    __slots__ = (
-        'draining',
-        'host',
-        'name',
-        'pool',
-        'port',
-        'slots',
-        'zone',
-    )
-
-    def __init__(
-        self,
-        *,
-        name: str,
-        pool: str,
-        host: str,
-        port: int,
-        zone: str,
-        slots: int,
-        draining: bool,
-    ) -> None:
-        """Describe an endpoint.
-
-        :param name: id of this incarnation, never used twice.
-        :param pool: the pool it belongs to.
-        :param host: its IP number.
-        :param port: its port.
-        :param zone: its availability zone.
-        :param slots: requests it runs at once.
-        :param draining: whether it is about to leave.
-        """
-        self.name = name
-        self.pool = pool
-        self.host = host
-        self.port = port
-        self.zone = zone
-        self.slots = slots
-        self.draining = draining
-
-
 @final
 class EndpointTable:
     """All endpoints by name, with those that went a moment ago."""
--- a/wingfall/gateway/binding.py
+++ b/wingfall/gateway/model/binding.py
@@ -7,83 +7,18 @@
 from wingfall.registry import Registry
 
 if TYPE_CHECKING:
-    from collections.abc import Callable
     from types import SimpleNamespace
 
     from returns.result import Result
 
-    from wingfall.errors import PlatformError
-    from wingfall.gateway.call import (
-        Call,
-        CallHead,
-        Headers,
-        PromptPart,
-    )
-    from wingfall.gateway.endpoints import PoolEndpoint
-    from wingfall.gateway.routes import Routes
+    from wingfall.gateway.model.call import Call, CallHead, Headers
+    from wingfall.gateway.model.object_store import ObjectStore
+    from wingfall.gateway.model.pool_endpoint import PoolEndpoint
+    from wingfall.gateway.model.prompt import PromptPart
+    from wingfall.gateway.model.routes import Routes
     from wingfall.metrics import Metrics
 
 
-@final
-class StoredObject:
-    """One object of the platform's store."""
-
-    __slots__ = ('name', 'revision', 'spec')
-
-    def __init__(
-        self,
-        *,
-        name: str,
-        revision: int,
-        spec: dict[str, Any] | None,
-    ) -> None:
-        """Keep an object.
-
-        :param name: its name within its kind.
-        :param revision: the store's counter at its last change.
-        :param spec: what it says, None once it is gone.
-        """
-        self.name = name
-        self.revision = revision
-        self.spec = spec
-
-
-@final
-class StoreReading:
-    """What one call to the store brought."""
-
-    __slots__ = ('objects', 'revision')
-
-    def __init__(self, *, revision: int, objects: list[StoredObject]) -> None:
-        """Keep a reading.
-
-        :param revision: the store's counter up to which it is complete.
-        :param objects: the objects listed or changed, in order.
-        """
-        self.revision = revision
-        self.objects = objects
-
-
-class ObjectStore(Protocol):
-    """Reads one kind of object; tells of progress as answers come in."""
-
-    def list_all(
-        self,
-        *,
-        progress: Callable[[], None],
-    ) -> Result[StoreReading, PlatformError]:
-        """Read all objects of the kind."""
-
-    def watch(
-        self,
-        revision: int,
-        *,
-        progress: Callable[[], None],
-        brief: bool = False,
-    ) -> Result[StoreReading, PlatformError]:
-        """Wait a bounded time, or not at all, for changes after a revision."""
-
-
 @final
 class Sending:
     """What an attempt adds to a caller's request."""
--- /dev/null
+++ b/wingfall/gateway/model/object_store.py
@@ -0,0 +1,72 @@
+"""Objects of the platform's store, and how a gateway reads them."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any, Protocol, final
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from returns.result import Result
+
+    from wingfall.errors import PlatformError
+
+
+@final
+class StoredObject:
+    """One object of the platform's store."""
+
+    __slots__ = ('name', 'revision', 'spec')
+
+    def __init__(
+        self,
+        *,
+        name: str,
+        revision: int,
+        spec: dict[str, Any] | None,
+    ) -> None:
+        """Keep an object.
+
+        :param name: its name within its kind.
+        :param revision: the store's counter at its last change.
+        :param spec: what it says, None once it is gone.
+        """
+        self.name = name
+        self.revision = revision
+        self.spec = spec
+
+
+@final
+class StoreReading:
+    """What one call to the store brought."""
+
+    __slots__ = ('objects', 'revision')
+
+    def __init__(self, *, revision: int, objects: list[StoredObject]) -> None:
+        """Keep a reading.
+
+        :param revision: the store's counter up to which it is complete.
+        :param objects: the objects listed or changed, in order.
+        """
+        self.revision = revision
+        self.objects = objects
+
+
+class ObjectStore(Protocol):
+    """Reads one kind of object; tells of progress as answers come in."""
+
+    def list_all(
+        self,
+        *,
+        progress: Callable[[], None],
+    ) -> Result[StoreReading, PlatformError]:
+        """Read all objects of the kind."""
+
+    def watch(
+        self,
+        revision: int,
+        *,
+        progress: Callable[[], None],
+        brief: bool = False,
+    ) -> Result[StoreReading, PlatformError]:
+        """Wait a bounded time, or not at all, for changes after a revision."""
--- /dev/null
+++ b/wingfall/gateway/peers/__init__.py
@@ -0,0 +1,1 @@
+"""What gateways tell each other: loads, outcomes, parts kept, objects."""
--- a/wingfall/gateway/peers.py
+++ b/wingfall/gateway/peers/gateway_peers.py
@@ -11,16 +11,16 @@
 
 from wingfall.clock import MS_PER_S
 from wingfall.errors import WireError
-from wingfall.gateway.heartbeat_schedule import (
+from wingfall.gateway.peers.heartbeat_schedule import (
     TICK_MS,
     heard_within_ms,
     silence_ms,
 )
-from wingfall.gateway.heartbeats import Heartbeats
-from wingfall.gateway.object_exchange import ObjectExchange
-from wingfall.gateway.peer_session import PeerSession
-from wingfall.gateway.ranking import rank
-from wingfall.gateway.watch_duty import WATCHERS, WatchDuty
+from wingfall.gateway.peers.heartbeats import Heartbeats
+from wingfall.gateway.peers.object_exchange import ObjectExchange
+from wingfall.gateway.peers.peer_session import PeerSession
+from wingfall.gateway.peers.ranking import rank
+from wingfall.gateway.peers.watch_duty import WATCHERS, WatchDuty
 from wingfall.log import log_event
 from wingfall.wire.connection import Connection
 from wingfall.wire.gateway_messages import GatewayHello
@@ -28,8 +28,8 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from wingfall.gateway.parts_transfer import PartsTransfer
-    from wingfall.gateway.replica import ObjectReplica
+    from wingfall.gateway.configuration.replica import ObjectReplica
+    from wingfall.gateway.peers.parts_transfer import PartsTransfer
     from wingfall.gateway.state import GatewayState
     from wingfall.supervisor import Supervisor
     from wingfall.wire.message import Message
--- a/wingfall/gateway/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -4,9 +4,12 @@
 
 from typing import TYPE_CHECKING, Any, Callable, final
 
-from wingfall.gateway.heartbeat_schedule import HeartbeatDue, HeartbeatSchedule
-from wingfall.gateway.load_entries import News
-from wingfall.gateway.load_exchange import LoadExchange
+from wingfall.gateway.peers.heartbeat_schedule import (
+    HeartbeatDue,
+    HeartbeatSchedule,
+)
+from wingfall.gateway.peers.load_entries import News
+from wingfall.gateway.peers.load_exchange import LoadExchange
 from wingfall.wire.codec import encode
 from wingfall.wire.gateway_messages import (
     GatewayHeartbeat,
@@ -20,9 +23,9 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from wingfall.gateway.object_exchange import ObjectExchange
-    from wingfall.gateway.parts_transfer import PartsTransfer
-    from wingfall.gateway.peer_session import PeerSession
+    from wingfall.gateway.peers.object_exchange import ObjectExchange
+    from wingfall.gateway.peers.parts_transfer import PartsTransfer
+    from wingfall.gateway.peers.peer_session import PeerSession
     from wingfall.gateway.state import GatewayState
     from wingfall.wire.message import Message
 
--- a/wingfall/gateway/load_entries.py
+++ b/wingfall/gateway/peers/load_entries.py
@@ -5,13 +5,13 @@
 import itertools
 from typing import TYPE_CHECKING, Any, Final, TypeAlias, final
 
-from wingfall.gateway.load import EndpointLoad
+from wingfall.gateway.endpoints.load import EndpointLoad
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from wingfall.decision.endpoint_health import Outcomes
-    from wingfall.gateway.state import SentPrompt
+    from wingfall.gateway.rules.endpoint_health import Outcomes
+    from wingfall.gateway.rules.prefix_caches import SentPrompt
 
 Work: TypeAlias = tuple[int, ...]
 
--- a/wingfall/gateway/load_exchange.py
+++ b/wingfall/gateway/peers/load_exchange.py
@@ -11,9 +11,11 @@
 
 from typing import TYPE_CHECKING, Any, Final, final
 
-from wingfall.decision.endpoint_health import Outcomes
-from wingfall.gateway.heartbeat_schedule import heard_within_ms, interval_ms
-from wingfall.gateway.load_entries import (
+from wingfall.gateway.peers.heartbeat_schedule import (
+    heard_within_ms,
+    interval_ms,
+)
+from wingfall.gateway.peers.load_entries import (
     IDLE,
     News,
     Work,
@@ -23,15 +25,16 @@
     write_sent,
     write_work,
 )
-from wingfall.gateway.parts_transfer import read_parts
-from wingfall.gateway.relay_choice import find_relay, relay_rank
+from wingfall.gateway.peers.parts_transfer import read_parts
+from wingfall.gateway.peers.relay_choice import find_relay, relay_rank
+from wingfall.gateway.rules.endpoint_health import Outcomes
 from wingfall.log import log_event
 from wingfall.wire.gateway_messages import ZoneLoads
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
 
-    from wingfall.gateway.peer_session import PeerSession
+    from wingfall.gateway.peers.peer_session import PeerSession
     from wingfall.gateway.state import GatewayState
 
 _ZONE_SILENCE_MS: Final = 3000
--- a/wingfall/gateway/memory_survey.py
+++ b/wingfall/gateway/peers/memory_survey.py
@@ -18,7 +18,7 @@
 from returns.result import Failure, Result, Success
 
 from wingfall.clock import MS_PER_S
-from wingfall.gateway.endpoint_connection import (
+from wingfall.gateway.endpoints.endpoint_connection import (
     AnswerBrokenError,
     AnswerLateError,
     NotConnectedError,
@@ -28,9 +28,11 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from wingfall.gateway.endpoint_connection import EndpointConnection
-    from wingfall.gateway.endpoints import PoolEndpoint
-    from wingfall.gateway.parts_transfer import PartsTransfer
+    from wingfall.gateway.endpoints.endpoint_connection import (
+        EndpointConnection,
+    )
+    from wingfall.gateway.model.pool_endpoint import PoolEndpoint
+    from wingfall.gateway.peers.parts_transfer import PartsTransfer
     from wingfall.gateway.state import GatewayState
 
 # What is learned is told to peers: so many gateways ask the same engine.
--- a/wingfall/gateway/object_exchange.py
+++ b/wingfall/gateway/peers/object_exchange.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING, Final, final
 
-from wingfall.gateway.binding import StoreReading
-from wingfall.gateway.object_transfer import (
+from wingfall.gateway.model.object_store import StoreReading
+from wingfall.gateway.peers.object_transfer import (
     CHUNK_BYTES,
     IncomingTransfer,
     OutgoingTransfer,
@@ -21,9 +21,9 @@
     from collections.abc import Iterable, Sequence
 
     from wingfall.clock import Clock
-    from wingfall.gateway.binding import StoredObject
-    from wingfall.gateway.peer_session import PeerSession
-    from wingfall.gateway.replica import ObjectReplica
+    from wingfall.gateway.configuration.replica import ObjectReplica
+    from wingfall.gateway.model.object_store import StoredObject
+    from wingfall.gateway.peers.peer_session import PeerSession
 
 # Gateways that watch the store themselves learn a change this much later;
 # others ask a peer of their availability zone before one of another.
--- a/wingfall/gateway/object_transfer.py
+++ b/wingfall/gateway/peers/object_transfer.py
@@ -9,7 +9,7 @@
 import orjson
 
 from wingfall.errors import WireError
-from wingfall.gateway.binding import StoredObject, StoreReading
+from wingfall.gateway.model.object_store import StoredObject, StoreReading
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
--- a/wingfall/gateway/parts_transfer.py
+++ b/wingfall/gateway/peers/parts_transfer.py
@@ -11,7 +11,7 @@
 import gevent
 
 from wingfall.clock import MS_PER_S
-from wingfall.gateway.call import PromptPart
+from wingfall.gateway.model.prompt import PromptPart
 from wingfall.log import log_event
 from wingfall.supervisor import Backoff
 from wingfall.wire.gateway_messages import PartsFetch, PartsPage
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
 
-    from wingfall.gateway.peer_session import PeerSession
+    from wingfall.gateway.peers.peer_session import PeerSession
     from wingfall.gateway.state import GatewayState
 
 _TICK_MS: Final = 50
--- a/wingfall/gateway/peer_session.py
+++ b/wingfall/gateway/peers/peer_session.py
@@ -4,10 +4,10 @@
 
 from typing import TYPE_CHECKING, final
 
-from wingfall.gateway.ranking import rank
+from wingfall.gateway.peers.ranking import rank
 
 if TYPE_CHECKING:
-    from wingfall.gateway.object_transfer import OutgoingTransfer
+    from wingfall.gateway.peers.object_transfer import OutgoingTransfer
     from wingfall.wire.connection import Connection
     from wingfall.wire.gateway_messages import GatewayHello
 
--- a/wingfall/gateway/relay_choice.py
+++ b/wingfall/gateway/peers/relay_choice.py
@@ -4,12 +4,12 @@
 
 from typing import TYPE_CHECKING
 
-from wingfall.gateway.ranking import rank
+from wingfall.gateway.peers.ranking import rank
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from wingfall.gateway.peer_session import PeerSession
+    from wingfall.gateway.peers.peer_session import PeerSession
 
 
 def find_relay(
--- a/wingfall/gateway/watch_duty.py
+++ b/wingfall/gateway/peers/watch_duty.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-    from wingfall.gateway.peer_session import PeerSession
+    from wingfall.gateway.peers.peer_session import PeerSession
 
 # One watcher may end and one be cut from the store, and changes still come.
 WATCHERS: Final = 3
--- a/wingfall/decision/cache_transfer.py
+++ b/wingfall/gateway/rules/cache_transfer.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from wingfall.decision.placement import Candidate
+    from wingfall.gateway.rules.placement import Candidate
 
 # A copy has a cost of its own, about that of reading some hundred tokens.
 _LEAST_TOKENS: Final = 512
--- a/wingfall/decision/engine_speeds.py
+++ b/wingfall/gateway/rules/engine_speeds.py
@@ -4,7 +4,11 @@
 
 from typing import final
 
-from wingfall.decision.engine_speed import EngineSpeed, LongestPause, ReadRate
+from wingfall.gateway.rules.engine_speed import (
+    EngineSpeed,
+    LongestPause,
+    ReadRate,
+)
 
 
 @final
--- a/wingfall/decision/placement.py
+++ b/wingfall/gateway/rules/placement.py
@@ -10,7 +10,7 @@
 
 from typing import TYPE_CHECKING, Callable, Final, final
 
-from wingfall.decision.engine_speed import EngineSpeed, late_chance
+from wingfall.gateway.rules.engine_speed import EngineSpeed, late_chance
 from wingfall.registry import Registry
 
 if TYPE_CHECKING:
--- a/wingfall/decision/prefix_cache.py
+++ b/wingfall/gateway/rules/prefix_cache.py
@@ -10,12 +10,12 @@
 import collections
 from typing import TYPE_CHECKING, Final, final
 
-from wingfall.decision.shared_read import PendingRead
+from wingfall.gateway.rules.shared_read import PendingRead
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from wingfall.gateway.call import PromptPart
+    from wingfall.gateway.model.prompt import PromptPart
 
 DEFAULT_CAPACITY_TOKENS: Final = 400_000
 
--- a/wingfall/decision/recent_reads.py
+++ b/wingfall/gateway/rules/recent_reads.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Final, final
 
-from wingfall.decision.decaying_sum import DecayingSum
+from wingfall.gateway.rules.decaying_sum import DecayingSum
 
 if TYPE_CHECKING:
     from wingfall.clock import Clock
--- a/wingfall/platform/binding.py
+++ b/wingfall/platform/binding.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any, Final, final
 
-from wingfall.gateway.binding import bindings
+from wingfall.gateway.model.binding import bindings
 from wingfall.platform.documents import (
     read_endpoint,
     read_memory,
@@ -25,15 +25,11 @@
 
     from returns.result import Result
 
-    from wingfall.gateway.binding import AnswerHead, Sending
-    from wingfall.gateway.call import (
-        Call,
-        CallHead,
-        Headers,
-        PromptPart,
-    )
-    from wingfall.gateway.endpoints import PoolEndpoint
-    from wingfall.gateway.routes import Routes
+    from wingfall.gateway.model.binding import AnswerHead, Sending
+    from wingfall.gateway.model.call import Call, CallHead, Headers
+    from wingfall.gateway.model.pool_endpoint import PoolEndpoint
+    from wingfall.gateway.model.prompt import PromptPart
+    from wingfall.gateway.model.routes import Routes
     from wingfall.metrics import Metrics
 
 _READY_PATH: Final = '/wingfall/ready'
--- a/wingfall/platform/documents.py
+++ b/wingfall/platform/documents.py
@@ -7,9 +7,9 @@
 import orjson
 from returns.result import Failure, Result, Success
 
-from wingfall.gateway.call import PromptPart
-from wingfall.gateway.endpoints import PoolEndpoint
-from wingfall.gateway.routes import (
+from wingfall.gateway.model.pool_endpoint import PoolEndpoint
+from wingfall.gateway.model.prompt import PromptPart
+from wingfall.gateway.model.routes import (
     DEFAULT_TIER,
     CallerLimits,
     GatewayCustomer,
--- a/wingfall/platform/headers.py
+++ b/wingfall/platform/headers.py
@@ -4,13 +4,14 @@
 
 from typing import TYPE_CHECKING, Final
 
-from wingfall.gateway.binding import AnswerHead
-from wingfall.gateway.call import CallHead, Prompt, PromptPart
+from wingfall.gateway.model.binding import AnswerHead
+from wingfall.gateway.model.call import CallHead
+from wingfall.gateway.model.prompt import Prompt, PromptPart
 
 if TYPE_CHECKING:
-    from wingfall.gateway.binding import Sending
-    from wingfall.gateway.call import Call, Headers
-    from wingfall.gateway.endpoints import PoolEndpoint
+    from wingfall.gateway.model.binding import Sending
+    from wingfall.gateway.model.call import Call, Headers
+    from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 
 _CALL_ID: Final = b'x-attempt-id'
 _DEADLINE: Final = b'x-deadline-ms'
--- a/wingfall/platform/store.py
+++ b/wingfall/platform/store.py
@@ -11,7 +11,7 @@
 
 from wingfall.clock import MS_PER_S
 from wingfall.errors import PlatformError
-from wingfall.gateway.binding import StoredObject, StoreReading
+from wingfall.gateway.model.object_store import StoredObject, StoreReading
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
