--- /dev/null
+++ b/tests/test_call_rules.py
@@ -0,0 +1,320 @@
+"""The rules of a call over whole tables of cases, against a record of them.
+
+What a rule says for a case is kept in ``tests/golden/call_rules.json``; a
+change of a rule that is meant changes the record, with its reason.
+"""
+
+from __future__ import annotations
+
+import itertools
+import pathlib
+from types import SimpleNamespace
+from typing import Any
+
+import orjson
+import pytest
+
+from wingfall.clock import ManualClock
+from wingfall.errors import RunState
+from wingfall.gateway.calls import chooser
+from wingfall.gateway.calls.attempt import AttemptEnd
+from wingfall.gateway.calls.dispatcher import _REFUSALS, Dispatch
+from wingfall.gateway.calls.refusals import (
+    refuse_early,
+    refuse_late,
+    refuse_no_endpoint,
+    refuse_no_routes,
+)
+from wingfall.gateway.model.pool_endpoint import PoolEndpoint
+from wingfall.gateway.rules.early_refusal import StartEstimate, admit_by_target
+from wingfall.gateway.rules.placement import (
+    Candidate,
+    Demand,
+    place_by_reading,
+)
+from wingfall.gateway.rules.stream_backup import back_up_long_answers
+
+RECORD = pathlib.Path(__file__).parent / 'golden' / 'call_rules.json'
+NOW_MS = 1000
+ENDS = [end for end in AttemptEnd if end is not AttemptEnd.answered]
+
+
+def make_dispatch(
+    *,
+    left_ms: int = 1000,
+    target_ms: int = 100,
+    idempotent: bool = True,
+    max_attempts: int = 2,
+    sent: int = 0,
+    unreached: int = 0,
+    may_have_run: bool = False,
+    started: bool = False,
+    last_event_id: str | None = None,
+    asked: list[str] | None = None,
+) -> Dispatch:
+    """Make the service of a call in the middle of its attempts."""
+    asked = [] if asked is None else asked
+    pool = SimpleNamespace(pool='p', weight=1)
+    dispatch = Dispatch(
+        state=SimpleNamespace(
+            clock=ManualClock(start_ms=NOW_MS),
+            budget=SimpleNamespace(take=lambda name: not asked.append(name)),
+        ),
+        call=SimpleNamespace(
+            arrived_ms=0,
+            deadline_ms=NOW_MS + left_ms,
+            idempotent=idempotent,
+            route=SimpleNamespace(
+                target_ms=target_ms,
+                max_attempts=max_attempts,
+                pools=(pool,),
+            ),
+        ),
+        reply=SimpleNamespace(started=started, last_event_id=last_event_id),
+    )
+    dispatch._sent.extend(map(str, range(sent)))
+    dispatch._unreached.update(map(str, range(unreached)))
+    dispatch._may_have_run = may_have_run
+    return dispatch
+
+
+def first_byte_in_ms(start_ms: int, **case: Any) -> int:
+    """Tell how long an attempt may wait for its first byte."""
+    choice = SimpleNamespace(
+        candidate=SimpleNamespace(
+            reading_tokens=0,
+            speed=SimpleNamespace(read_ms=lambda _tokens: start_ms),
+        ),
+        load=SimpleNamespace(reading_tokens=0),
+    )
+    limits = make_dispatch(**case)._limits(choice)
+    return limits.first_byte_ms - NOW_MS
+
+
+def retry_verdict(end: AttemptEnd, **case: Any) -> str:
+    """Tell whether a call is tried again: no, freely or from the budget."""
+    asked: list[str] = []
+    again = make_dispatch(asked=asked, **case)._may_try_again(end)
+    if asked:
+        return 'b'
+    return 'f' if again else 'n'
+
+
+def final_answer(end: AttemptEnd, run: RunState, left_ms: int) -> list[Any]:
+    """Tell what a call is answered after its last attempt."""
+    return shown(_REFUSALS[end](run, left_ms))
+
+
+def answer_without_endpoint(run: RunState, left_ms: int) -> list[Any]:
+    """Tell what a call is answered for which no endpoint is left."""
+    return shown(refuse_no_endpoint(run, left_ms))
+
+
+def answer_when_time_is_over(run: RunState, left_ms: int) -> list[Any]:
+    """Tell what a call is answered whose time is over."""
+    return shown(refuse_late(run, left_ms))
+
+
+def answer_without_routes(left_ms: int) -> list[Any]:
+    """Tell what a call is answered before there is a configuration."""
+    return shown(refuse_no_routes(left_ms))
+
+
+def early_answer(case: tuple[int, int, int, bool]) -> Any:
+    """Tell what a prompt is answered at once, None if it is admitted."""
+    start_ms, target_ms, left_ms, urgent = case
+    admitted = admit_by_target(
+        StartEstimate(
+            start_ms=start_ms,
+            target_ms=target_ms,
+            left_ms=left_ms,
+            urgent=urgent,
+        ),
+    )
+    if admitted.value_or(0) is None:
+        return None
+    return shown(refuse_early(admitted.failure()))
+
+
+def make_endpoint(name: str, pool: str = 'p', **changes: Any) -> PoolEndpoint:
+    """Make an endpoint."""
+    known = {'zone': 'a', 'slots': 1, 'draining': False, **changes}
+    return PoolEndpoint(name=name, pool=pool, host='h', port=1, **known)
+
+
+def sound_names(avoided: set[str], out: set[str]) -> list[str]:
+    """Tell which of three endpoints a call may go to."""
+    state = SimpleNamespace(
+        health=SimpleNamespace(is_out=lambda name: name in out),
+    )
+    endpoints = [make_endpoint(name) for name in 'abc']
+    sound = chooser._acceptable(state, endpoints, avoided)
+    return [each.name for each in sound]
+
+
+def narrowed(
+    endpoints: list[PoolEndpoint],
+    keeping: list[PoolEndpoint],
+) -> list[PoolEndpoint]:
+    """Choose the endpoints of a pool that are weighed."""
+    listed = {each.name: each for each in keeping}
+    state = SimpleNamespace(
+        endpoints=SimpleNamespace(find=listed.get),
+        caches=SimpleNamespace(keepers=lambda _prompt: set(listed)),
+    )
+    call = SimpleNamespace(head=SimpleNamespace(prompt='any'))
+    return chooser._narrow(state, call, endpoints)
+
+
+def backup_name(
+    *,
+    backs_up: bool,
+    streaming: bool,
+    resumable: bool,
+    output_tokens: int,
+    failing: float,
+) -> str | None:
+    """Tell which engine keeps a copy of a run."""
+    state = SimpleNamespace(
+        routes=SimpleNamespace(pools={'p': SimpleNamespace(backs_up=backs_up)}),
+        stream_backup=back_up_long_answers,
+        placement=place_by_reading,
+    )
+    route = SimpleNamespace(streaming=streaming, resumable=resumable)
+    demand = Demand(is_prompt=True, tokens=1000, output_tokens=output_tokens)
+    candidates = [
+        Candidate(name='failing', failing=failing),
+        Candidate(name='busy', running=10, reading_tokens=500),
+    ]
+    chosen = chooser._choose_backup(
+        state, SimpleNamespace(route=route), 'p', demand, candidates
+    )
+    return chosen.name if chosen else None
+
+
+def shown(refusal: Any) -> list[Any]:
+    """Show what a caller sees of a refusal."""
+    return [
+        refusal.status,
+        refusal.kind,
+        refusal.code,
+        refusal.run,
+        refusal.retry_after_ms,
+    ]
+
+
+def first_byte_table() -> list[int]:
+    """Go through the bounds of an attempt's first byte."""
+    return [
+        first_byte_in_ms(
+            start_ms,
+            left_ms=left_ms,
+            target_ms=target_ms,
+            idempotent=idempotent,
+            sent=sent,
+        )
+        for start_ms, left_ms, target_ms, idempotent, sent in itertools.product(
+            (0, 50, 700), (6, 1000, 9001), (0, 200, 2500), (False, True), (0, 1)
+        )
+    ]
+
+
+def retry_table() -> str:
+    """Go through what may have become of a call's attempts."""
+    return ''.join(
+        retry_verdict(
+            end,
+            idempotent=idempotent,
+            may_have_run=ran,
+            unreached=unreached,
+            sent=sent,
+            started=started,
+            last_event_id=event_id,
+        )
+        for end, idempotent, ran, unreached, sent, (
+            started,
+            event_id,
+        ) in itertools.product(
+            ENDS,
+            (False, True),
+            (False, True),
+            (0, 3, 4),
+            (0, 1, 2),
+            ((False, None), (True, None), (True, '7')),
+        )
+    )
+
+
+def answer_table() -> list[Any]:
+    """Go through the final answers that are the gateway's own."""
+    states = list(itertools.product(RunState, (0, 150, 2000, 9000)))
+    return [
+        *(final_answer(end, *state) for end in ENDS for state in states),
+        *(answer_without_endpoint(*state) for state in states),
+        *(answer_when_time_is_over(*state) for state in states),
+        *(answer_without_routes(left_ms) for left_ms in (0, 150, 9000)),
+    ]
+
+
+def early_table() -> list[Any]:
+    """Go through the prompts that may be refused at once."""
+    cases = itertools.product(
+        (0, 500, 501, 3000, 60_000), (500, 2500), (400, 5000), (False, True)
+    )
+    return [early_answer(case) for case in cases]
+
+
+def sound_table() -> list[list[str]]:
+    """Go through endpoints that were tried or are left out."""
+    subsets = [set(), {'a'}, {'a', 'b'}, {'a', 'b', 'c'}]
+    return [sound_names(avoided, out) for avoided in subsets for out in subsets]
+
+
+def backup_table() -> list[str | None]:
+    """Go through the runs that may be kept at a second engine."""
+    cases = itertools.product(
+        (False, True), (False, True), (False, True), (499, 500), (0, 0.3, 1)
+    )
+    names = ('backs_up', 'streaming', 'resumable', 'output_tokens', 'failing')
+    return [
+        backup_name(**dict(zip(names, case, strict=True))) for case in cases
+    ]
+
+
+TABLES = {
+    'first byte': first_byte_table,
+    'retry': retry_table,
+    'answer': answer_table,
+    'early answer': early_table,
+    'sound': sound_table,
+    'backup': backup_table,
+}
+
+
+@pytest.mark.parametrize('name', TABLES)
+def test_rule_says_what_it_said(name: str):
+    assert TABLES[name]() == orjson.loads(RECORD.read_bytes())[name]
+
+
+def test_small_pool_is_weighed_whole():
+    endpoints = [make_endpoint(str(number)) for number in range(64)]
+    assert narrowed(endpoints, []) == endpoints
+
+
+@pytest.mark.parametrize('keepers', [0, 5, 24, 60])
+def test_of_a_large_pool_some_are_weighed(keepers: int):
+    endpoints = [make_endpoint(str(number)) for number in range(200)]
+    keeping = endpoints[:keepers]
+    weighed = narrowed(endpoints, keeping)
+    names = {each.name for each in weighed}
+    assert len(names) == len(weighed)
+    assert 24 <= len(weighed) <= 48
+    kept = [each for each in keeping if each.name in names]
+    assert len(kept) >= min(keepers, 24)
+
+
+def test_keepers_that_drain_or_are_of_another_pool_are_not_weighed():
+    endpoints = [make_endpoint(str(number)) for number in range(100)]
+    odd = [make_endpoint('x', draining=True), make_endpoint('y', pool='q')]
+    names = {each.name for each in narrowed(endpoints, odd)}
+    assert not names & {'x', 'y'}
