--- a/tests/test_call_rules.py
+++ b/tests/test_call_rules.py
@@ -16,15 +16,9 @@
 
 from wingfall.clock import ManualClock
 from wingfall.errors import RunState
-from wingfall.gateway.calls import chooser
-from wingfall.gateway.calls.attempt import AttemptEnd
-from wingfall.gateway.calls.dispatcher import _REFUSALS, Dispatch
-from wingfall.gateway.calls.refusals import (
-    refuse_early,
-    refuse_late,
-    refuse_no_endpoint,
-    refuse_no_routes,
-)
+from wingfall.gateway.calls import destination
+from wingfall.gateway.calls.dispatcher import Dispatch
+from wingfall.gateway.model.attempt_end import AttemptEnd
 from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 from wingfall.gateway.rules.early_refusal import StartEstimate, admit_by_target
 from wingfall.gateway.rules.placement import (
@@ -32,6 +26,12 @@
     Demand,
     place_by_reading,
 )
+from wingfall.gateway.rules.refusals import (
+    refuse_after,
+    refuse_early,
+    refuse_no_routes,
+)
+from wingfall.gateway.rules.shortlist import prefer_sound, shorten
 from wingfall.gateway.rules.stream_backup import back_up_long_answers
 
 RECORD = pathlib.Path(__file__).parent / 'golden' / 'call_rules.json'
@@ -72,22 +72,16 @@
         ),
         reply=SimpleNamespace(started=started, last_event_id=last_event_id),
     )
-    dispatch._sent.extend(map(str, range(sent)))
-    dispatch._unreached.update(map(str, range(unreached)))
-    dispatch._may_have_run = may_have_run
+    dispatch._progress.sent.extend(map(str, range(sent)))
+    dispatch._progress.unreached.update(map(str, range(unreached)))
+    dispatch._progress.may_have_run = may_have_run
     return dispatch
 
 
 def first_byte_in_ms(start_ms: int, **case: Any) -> int:
     """Tell how long an attempt may wait for its first byte."""
-    choice = SimpleNamespace(
-        candidate=SimpleNamespace(
-            reading_tokens=0,
-            speed=SimpleNamespace(read_ms=lambda _tokens: start_ms),
-        ),
-        load=SimpleNamespace(reading_tokens=0),
-    )
-    limits = make_dispatch(**case)._limits(choice)
+    outlook = SimpleNamespace(start_ms=start_ms)
+    limits = make_dispatch(**case)._limits(outlook)
     return limits.first_byte_ms - NOW_MS
 
 
@@ -102,17 +96,17 @@
 
 def final_answer(end: AttemptEnd, run: RunState, left_ms: int) -> list[Any]:
     """Tell what a call is answered after its last attempt."""
-    return shown(_REFUSALS[end](run, left_ms))
+    return shown(refuse_after(end, run, left_ms))
 
 
 def answer_without_endpoint(run: RunState, left_ms: int) -> list[Any]:
     """Tell what a call is answered for which no endpoint is left."""
-    return shown(refuse_no_endpoint(run, left_ms))
+    return shown(refuse_after(AttemptEnd.not_sent, run, left_ms))
 
 
 def answer_when_time_is_over(run: RunState, left_ms: int) -> list[Any]:
     """Tell what a call is answered whose time is over."""
-    return shown(refuse_late(run, left_ms))
+    return shown(refuse_after(AttemptEnd.late, run, left_ms))
 
 
 def answer_without_routes(left_ms: int) -> list[Any]:
@@ -144,11 +138,8 @@
 
 def sound_names(avoided: set[str], out: set[str]) -> list[str]:
     """Tell which of three endpoints a call may go to."""
-    state = SimpleNamespace(
-        health=SimpleNamespace(is_out=lambda name: name in out),
-    )
     endpoints = [make_endpoint(name) for name in 'abc']
-    sound = chooser._acceptable(state, endpoints, avoided)
+    sound = prefer_sound(endpoints, avoided, out.__contains__)
     return [each.name for each in sound]
 
 
@@ -157,13 +148,7 @@
     keeping: list[PoolEndpoint],
 ) -> list[PoolEndpoint]:
     """Choose the endpoints of a pool that are weighed."""
-    listed = {each.name: each for each in keeping}
-    state = SimpleNamespace(
-        endpoints=SimpleNamespace(find=listed.get),
-        caches=SimpleNamespace(keepers=lambda _prompt: set(listed)),
-    )
-    call = SimpleNamespace(head=SimpleNamespace(prompt='any'))
-    return chooser._narrow(state, call, endpoints)
+    return shorten(endpoints, keeping)
 
 
 def backup_name(
@@ -177,8 +162,10 @@
     """Tell which engine keeps a copy of a run."""
     state = SimpleNamespace(
         routes=SimpleNamespace(pools={'p': SimpleNamespace(backs_up=backs_up)}),
-        stream_backup=back_up_long_answers,
-        placement=place_by_reading,
+        policies=SimpleNamespace(
+            stream_backup=back_up_long_answers,
+            placement=place_by_reading,
+        ),
     )
     route = SimpleNamespace(streaming=streaming, resumable=resumable)
     demand = Demand(is_prompt=True, tokens=1000, output_tokens=output_tokens)
@@ -186,7 +173,7 @@
         Candidate(name='failing', failing=failing),
         Candidate(name='busy', running=10, reading_tokens=500),
     ]
-    chosen = chooser._choose_backup(
+    chosen = destination._choose_backup(
         state, SimpleNamespace(route=route), 'p', demand, candidates
     )
     return chosen.name if chosen else None
--- a/tests/test_resend_budget.py
+++ b/tests/test_gateway_retry_budget.py
@@ -5,16 +5,16 @@
 from typing import Any
 
 from wingfall.clock import ManualClock
-from wingfall.gateway.rules.resend_budget import ResendBudget
+from wingfall.gateway.rules.retry_budget import RetryBudget
 
 
-def make(clock: ManualClock, **changes: Any) -> ResendBudget:
+def make(clock: ManualClock, **changes: Any) -> RetryBudget:
     """Make a budget of ten a window."""
     known = {'ratio': 0, 'slack': 12.5, 'window_ms': 10_000, **changes}
-    return ResendBudget(clock=clock, **known)
+    return RetryBudget(clock=clock, **known)
 
 
-def taken(budget: ResendBudget, pool: str = 'pool') -> int:
+def taken(budget: RetryBudget, pool: str = 'pool') -> int:
     """Count how many second sendings are allowed at once."""
     return sum(budget.take(pool) for _ask in range(100))
 
@@ -31,7 +31,7 @@
 def test_fresh_requests_earn_more(clock: ManualClock):
     budget = make(clock, slack=0, ratio=0.5)
     for _fresh in range(100):
-        budget.note_fresh('pool')
+        budget.note_request('pool')
     assert taken(budget) == 40
 
 
--- a/tests/test_load_exchange.py
+++ b/tests/test_load_exchange.py
@@ -35,14 +35,16 @@
         self.caches = PrefixCaches()
         self.endpoints = EndpointTable(clock=clock)
         self.health = EndpointHealth(clock=clock)
-        self.exchange = LoadExchange(name=name, state=self)
+        self.exchange = LoadExchange(
+            name=name, zone=zone, clock=clock, knowledge=self
+        )
         self.sessions: dict[str, PeerSession] = {}
         self.alive = True
 
     def ready_ms(self, endpoint: str) -> int:
         return self.clock.now_ms()
 
-    def note_read(self, endpoint: str, tokens: int) -> None:
+    def note_prompt_sent(self, endpoint: str, tokens: int) -> None:
         self.reads.append((endpoint, tokens))
 
     def running(self, endpoint: str) -> int:
--- a/tests/test_parts_transfer.py
+++ b/tests/test_parts_transfer.py
@@ -31,7 +31,9 @@
         self.clock = ManualClock()
         self.caches = PrefixCaches()
         self.zone = ZONE
-        self.transfer = PartsTransfer(state=self)
+        self.transfer = PartsTransfer(
+            zone=self.zone, clock=self.clock, caches=self.caches
+        )
 
 
 @pytest.fixture
--- a/tests/test_prefix_cache.py
+++ b/tests/test_prefix_cache.py
@@ -42,10 +42,10 @@
     cache = PrefixCache()
     cache.note(parts('a'))
     cache.note(parts('a', 'b'), ready_ms=500)
-    pending = cache.being_read(parts('a', 'b', 'c'), now_ms=300)
+    pending = cache.pending_read(parts('a', 'b', 'c'), now_ms=300)
     assert (pending.tokens, pending.ready_in_ms) == (100, 200)
-    cache.note_read(parts('a', 'b'))
-    assert cache.being_read(parts('a', 'b'), now_ms=300).tokens == 0
+    cache.confirm_read(parts('a', 'b'))
+    assert cache.pending_read(parts('a', 'b'), now_ms=300).tokens == 0
     assert cache.cached_tokens(parts('a', 'b')) == 200
 
 
@@ -53,7 +53,7 @@
     cache = PrefixCache()
     cache.note(parts('a'))
     cache.note(parts('a', 'b'), ready_ms=500)
-    cache.note_unread(parts('a', 'b'))
+    cache.drop_unconfirmed(parts('a', 'b'))
     assert cache.cached_tokens(parts('a', 'b')) == 100
     assert cache.tokens == 100
 
@@ -62,7 +62,7 @@
     cache = PrefixCache(capacity=150)
     cache.note(parts('a'), ready_ms=500)
     cache.note(parts('b'))
-    assert cache.being_read(parts('a'), now_ms=0).tokens == 0
+    assert cache.pending_read(parts('a'), now_ms=0).tokens == 0
 
 
 NAMES = st.lists(st.sampled_from('abcdefgh'), max_size=4)
@@ -86,7 +86,7 @@
         if step == 'note':
             cache.note(parts(*names), ready_ms=number % 3)
         elif step == 'unread':
-            cache.note_unread(parts(*names))
+            cache.drop_unconfirmed(parts(*names))
         else:
             cache.clear()
     for part in parts(*'abcdefgh'):
--- a/tools/slopes/gateway.py
+++ b/tools/slopes/gateway.py
@@ -7,17 +7,15 @@
 
 from tools.slopes.figures import memory, note, time_us
 from wingfall.clock import ManualClock
-from wingfall.gateway.calls.chooser import choose_endpoint
+from wingfall.gateway.calls.destination import choose_destination
 from wingfall.gateway.configuration.replica import ObjectReplica
+from wingfall.gateway.endpoints.endpoint_knowledge import EndpointKnowledge
 from wingfall.gateway.endpoints.endpoint_table import EndpointTable
-from wingfall.gateway.endpoints.load import LoadTable
 from wingfall.gateway.model.object_store import StoredObject, StoreReading
 from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 from wingfall.gateway.model.prompt import Prompt, PromptPart
-from wingfall.gateway.rules.endpoint_health import EndpointHealth
 from wingfall.gateway.rules.placement import Candidate, Demand, place_by_reading
 from wingfall.gateway.rules.prefix_cache import PrefixCache
-from wingfall.gateway.rules.prefix_caches import PrefixCaches
 from wingfall.wire.codec import FrameDecoder, encode
 from wingfall.wire.gateway_messages import GatewayHeartbeat
 
@@ -58,7 +56,7 @@
     for count in (64, *_POOLS):
         state, call = _busy_state(count)
         cost = time_us(
-            lambda state=state, call=call: choose_endpoint(
+            lambda state=state, call=call: choose_destination(
                 state,
                 call,
                 'p',
@@ -124,14 +122,13 @@
     # As much of a gateway and a call as a choice looks at.
     clock = ManualClock()
     table, _replica = _table(count)
+    knowledge = EndpointKnowledge(clock=clock)
+    knowledge.table = table
     state = SimpleNamespace(
-        endpoints=table,
-        health=EndpointHealth(clock=clock),
-        caches=PrefixCaches(),
-        load=LoadTable(clock=clock),
+        knowledge=knowledge,
+        policies=SimpleNamespace(placement=place_by_reading),
         routes=None,
         zone='a',
-        placement=place_by_reading,
     )
     prompt = Prompt(
         parts=(
@@ -141,13 +138,15 @@
         output_tokens=100,
     )
     for number in range(count):
-        cache = state.caches.find(f'i-{number:010}')
+        cache = knowledge.caches.find(f'i-{number:010}')
         kept = 'a' if number < _KEEPERS else f'b{number}'
         cache.note([PromptPart(part_id=kept, tokens=13_000)])
     call = SimpleNamespace(
         head=SimpleNamespace(prompt=prompt),
         body=b'',
-        route=SimpleNamespace(target=SimpleNamespace(token_gap_ms=500)),
+        route=SimpleNamespace(
+            target=SimpleNamespace(first_token_ms=500, token_gap_ms=500),
+        ),
     )
     return state, call
 
--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -25,6 +25,7 @@
 from wingfall.gateway.peers.gateway_peers import GatewayPeers
 from wingfall.gateway.peers.memory_survey import MemorySurvey
 from wingfall.gateway.peers.parts_transfer import PartsTransfer
+from wingfall.gateway.rules.planned_stop import StopSchedule
 from wingfall.http_server import HttpServer
 from wingfall.log import log_event
 from wingfall.program import Program
@@ -42,11 +43,6 @@
 _FIRST_CONFIG_MS: Final = 500
 _MAX_CALLERS: Final = 3000
 _FORGET_MS: Final = 1000
-# The balancer notices after two questions, a second apart, that no new
-# connections shall come; idle ones are closed then.
-_LAME_MS: Final = 2600
-# Kept of the time of a planned stop for ending the process.
-_EXIT_MS: Final = 700
 _POLL_MS: Final = 20
 
 
@@ -90,7 +86,11 @@
             self._make_follower(binding.routes_store(), routes),
             self._make_follower(binding.endpoints_store(), endpoints),
         )
-        self._transfer = PartsTransfer(state=self._state)
+        self._transfer = PartsTransfer(
+            zone=settings.zone,
+            clock=self._clock,
+            caches=self._state.knowledge.caches,
+        )
         self._peers = GatewayPeers(
             name=settings.name,
             address=settings.peers.listen,
@@ -132,7 +132,7 @@
     @property
     def endpoints(self) -> EndpointTable:
         """The endpoints that this gateway knows."""
-        return self._state.endpoints
+        return self._state.knowledge.table
 
     @property
     def holds_watch(self) -> bool:
@@ -147,7 +147,9 @@
         :returns: whether it is.
         """
         part = PromptPart(part_id=part_id, tokens=1)
-        return bool(self._state.caches.find(endpoint).cached_tokens([part]))
+        return bool(
+            self._state.knowledge.caches.find(endpoint).cached_tokens([part])
+        )
 
     def reload(self, settings: SimpleNamespace) -> None:
         """Take changed settings, as far as they can change while running.
@@ -189,8 +191,9 @@
         log_event('gateway', 'Stopping.', calls=self._busy())
         self._state.draining = True
         self._peers.leave()
-        deadline_ms = self._clock.now_ms() + self._drain_ms()
-        gevent.sleep(min(_LAME_MS, self._drain_ms()) / MS_PER_S)
+        schedule = StopSchedule(stop_s=self._settings.limits.stop_s)
+        deadline_ms = self._clock.now_ms() + schedule.end_ms
+        gevent.sleep(schedule.serve_ms / MS_PER_S)
         self._callers.close()
         while self._open and self._clock.now_ms() < deadline_ms:
             for connection in list(self._open):
@@ -214,7 +217,7 @@
             return 'stopping'
         if self._state.routes is None:
             return 'no configuration'
-        if not self._state.endpoints.names:
+        if not self._state.knowledge.table.names:
             return 'no endpoints'
         return ''
 
@@ -227,7 +230,7 @@
         return {
             'name': self._settings.name,
             'config': routes.version if routes else None,
-            'endpoints': sorted(self._state.endpoints.names),
+            'endpoints': sorted(self._state.knowledge.table.names),
             'peers': self._peers.names,
             'calls': self._busy(),
         }
@@ -264,18 +267,12 @@
         within_ms = self._settings.store.watch_ms + _WATCH_SLACK_MS
         return all(each.has_heard(within_ms) for each in self._followers)
 
-    def _drain_ms(self) -> int:
-        return int(self._settings.limits.stop_s * MS_PER_S) - _EXIT_MS
-
     def _busy(self) -> int:
         return sum(connection.busy for connection in self._open)
 
     def _forget_departed(self) -> None:
         while not self._supervisor.stopped:
             gevent.sleep(_FORGET_MS / MS_PER_S)
-            names = self._state.endpoints.names
+            self._state.knowledge.forget_departed()
+            names = self._state.knowledge.table.names
             self._state.connections.forget(names)
-            self._state.health.forget(names)
-            self._state.caches.forget(names)
-            self._state.speeds.keep_only(names)
-            self._state.reads.keep_only(names)
--- a/wingfall/gateway/callers/caller_connection.py
+++ b/wingfall/gateway/callers/caller_connection.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import http
 import socket
 import traceback
 from typing import TYPE_CHECKING, Final, final
@@ -20,14 +21,9 @@
     send_refusal,
 )
 from wingfall.gateway.calls.intake import accept_call
-from wingfall.gateway.calls.refusals import (
-    BAD_REQUEST,
-    TOO_LARGE,
-    refuse_fault,
-    refuse_request,
-)
 from wingfall.gateway.calls.reply import Reply
 from wingfall.gateway.model.routes import CallerLimits
+from wingfall.gateway.rules.refusals import refuse_fault, refuse_request
 from wingfall.http_server import is_readable
 from wingfall.log import log_event
 from wingfall.wire.connection import send_all, set_no_delay
@@ -144,7 +140,7 @@
         body = self._read_body()
         if body is None:
             refusal = refuse_request(
-                TOO_LARGE,
+                http.HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
                 'body_too_large',
                 'The body is too large.',
             )
@@ -284,7 +280,7 @@
 
     def _refuse_garbage(self, error: h11.RemoteProtocolError) -> None:
         self._closing = True
-        status = error.error_status_hint or BAD_REQUEST
+        status = error.error_status_hint or http.HTTPStatus.BAD_REQUEST
         log_event('callers', 'Not a request.', status=status, error=str(error))
         if self._http.our_state not in {h11.IDLE, h11.SEND_RESPONSE}:
             return
--- a/wingfall/gateway/callers/readiness.py
+++ b/wingfall/gateway/callers/readiness.py
@@ -2,13 +2,11 @@
 
 from __future__ import annotations
 
-from typing import Callable, Final
+import http
+from typing import Callable
 
 import bottle
 
-_OK: Final = 200
-_UNAVAILABLE: Final = 503
-
 
 def make_ready_app(
     *,
@@ -25,8 +23,11 @@
 
     def show_ready() -> bottle.HTTPResponse:
         reason = not_ready()
-        code = _UNAVAILABLE if reason else _OK
-        return bottle.HTTPResponse(f'{reason or "ready"}\n', code)
+        if reason:
+            status = http.HTTPStatus.SERVICE_UNAVAILABLE
+        else:
+            status = http.HTTPStatus.OK
+        return bottle.HTTPResponse(f'{reason or "ready"}\n', status.value)
 
     app.get(path, callback=show_ready)
     return app
--- a/wingfall/gateway/calls/attempt.py
+++ b/wingfall/gateway/calls/attempt.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-import enum
+import http
 import re
 from typing import TYPE_CHECKING, Callable, Final, final
 
@@ -14,9 +14,11 @@
     NotConnectedError,
 )
 from wingfall.gateway.endpoints.event_stream import EventSplitter
+from wingfall.gateway.model.attempt_end import AttemptEnd
 from wingfall.gateway.model.binding import Sending
 
 if TYPE_CHECKING:
+    from wingfall.gateway.calls.destination import Destination
     from wingfall.gateway.calls.reply import Reply
     from wingfall.gateway.endpoints.endpoint_connection import (
         EndpointConnection,
@@ -24,26 +26,12 @@
     )
     from wingfall.gateway.model.binding import AnswerHead, Binding
     from wingfall.gateway.model.call import Call, Headers
-    from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 
-_OK: Final = 200
 _EVENT_STREAM: Final = b'text/event-stream'
 _KEEP_ALIVE: Final = re.compile(rb'timeout=(\d+)')
 _MAX_WHOLE_BYTES: Final = 8_388_608
 
 
-class AttemptEnd(enum.StrEnum):
-    """How an attempt ended."""
-
-    answered = 'answered'
-    failed = 'failed'  # A whole answer that says the run failed.
-    not_sent = 'not_sent'
-    not_run = 'not_run'
-    lost = 'lost'
-    late = 'late'
-    cut = 'cut'  # A stream that broke after events were passed on.
-
-
 @final
 class WholeAnswer:
     """An answer read to its end."""
@@ -107,27 +95,21 @@
     """Sends a call to an endpoint and reads the answer."""
 
     __slots__ = (
-        '_backup',
         '_binding',
         '_call',
         '_connection',
         '_connections',
-        '_continues',
-        '_endpoint',
+        '_destination',
         '_now_ms',
         '_on_output',
         '_reply',
-        '_source',
     )
 
     def __init__(
         self,
         *,
         call: Call,
-        endpoint: PoolEndpoint,
-        source: PoolEndpoint | None,
-        backup: PoolEndpoint | None,
-        continues: bool,
+        destination: Destination,
         reply: Reply,
         binding: Binding,
         connections: KeptConnections,
@@ -137,10 +119,7 @@
         """Prepare a sending.
 
         :param call: the request.
-        :param endpoint: where it goes.
-        :param source: the engine that it copies kept parts of the prompt from.
-        :param backup: the engine that keeps a copy of the run.
-        :param continues: whether the endpoint goes on with such a copy.
+        :param destination: where it goes, and what goes with it.
         :param reply: takes the events of a stream.
         :param binding: the platform's words.
         :param connections: connections to endpoints.
@@ -148,11 +127,8 @@
         :param on_output: called whenever events of a stream have come.
         """
         self._call = call
-        self._endpoint = endpoint
+        self._destination = destination
         self._reply = reply
-        self._source = source
-        self._backup = backup
-        self._continues = continues
         self._binding = binding
         self._connections = connections
         self._now_ms = now_ms
@@ -180,7 +156,7 @@
     def _exchange(self, limits: AttemptLimits) -> AttemptOutcome:
         call = self._call
         connection = self._connections.take(
-            self._endpoint,
+            self._destination.endpoint,
             timeout_ms=limits.first_byte_ms - self._now_ms(),
             kept=call.idempotent,
         )
@@ -197,12 +173,12 @@
     def _sending(self, limits: AttemptLimits) -> Sending:
         last_event_id = self._reply.last_event_id
         return Sending(
-            endpoint=self._endpoint,
+            endpoint=self._destination.endpoint,
             time_left_ms=limits.deadline_ms - self._now_ms(),
             last_event_id=last_event_id or self._call.head.last_event_id,
-            source=self._source,
-            backup=self._backup,
-            continues=self._continues,
+            source=self._destination.source,
+            backup=self._destination.backup,
+            continues=self._destination.continues,
         )
 
     def _read_response(
@@ -298,7 +274,7 @@
         connection = self._connection
         self._connection = None
         if connection is not None:
-            self._connections.give_back(self._endpoint, connection)
+            self._connections.give_back(self._destination.endpoint, connection)
 
     def _note_keep_alive(self, headers: Headers) -> None:
         for name, text in headers:
@@ -315,7 +291,7 @@
 
 def _is_stream(response: h11.Response) -> bool:
     kinds = [text for name, text in response.headers if name == b'content-type']
-    return response.status_code == _OK and any(
+    return response.status_code == http.HTTPStatus.OK and any(
         kind.startswith(_EVENT_STREAM) for kind in kinds
     )
 
--- /dev/null
+++ b/wingfall/gateway/calls/attempt_tracker.py
@@ -0,0 +1,136 @@
+"""Notes what an attempt does to an endpoint, and what it shows of it.
+
+Owns the attempt's entry in the load table and the watch over its token gaps;
+tells the prefix caches, the engines' speeds and the endpoints' health.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Final, final
+
+from wingfall.gateway.calls.attempt_log import log_attempt
+from wingfall.gateway.calls.token_gap_watch import TokenGapWatch
+from wingfall.gateway.model.attempt_end import AttemptEnd
+from wingfall.gateway.rules.prefix_caches import SentPrompt
+
+if TYPE_CHECKING:
+    from wingfall.gateway.calls.attempt import AttemptOutcome
+    from wingfall.gateway.calls.destination import Destination
+    from wingfall.gateway.calls.reply import Reply
+    from wingfall.gateway.model.call import Call
+    from wingfall.gateway.state import GatewayState
+
+# Multiples of the estimated start after which a prompt counts as read. The
+# first event tells exactly, so this only bounds the wait of other prompts for
+# a shared part. Not measured.
+_READ_SLACK: Final = 2
+
+
+@final
+class AttemptTracker:
+    """Follows one attempt from its sending to its end."""
+
+    __slots__ = (
+        '_call',
+        '_destination',
+        '_gaps',
+        '_load_entry',
+        '_number',
+        '_started_ms',
+        '_state',
+    )
+
+    def __init__(
+        self,
+        *,
+        state: GatewayState,
+        call: Call,
+        destination: Destination,
+        number: int,
+    ) -> None:
+        """Count the attempt's work from now on.
+
+        :param state: what the gateway knows.
+        :param call: the call.
+        :param destination: where it is sent.
+        :param number: which attempt it is, from 1.
+        """
+        name, knowledge = destination.endpoint.name, state.knowledge
+        self._state = state
+        self._call = call
+        self._destination = destination
+        self._number = number
+        self._load_entry = knowledge.load.start(name, destination.load)
+        self._note_prompt()
+        self._started_ms = state.clock.now_ms()
+        self._gaps = TokenGapWatch(
+            endpoint=name,
+            load=knowledge.load,
+            clock=state.clock,
+            speed=destination.candidate.speed,
+        )
+
+    def note_output(self) -> None:
+        """Note that events of the stream have come."""
+        self._gaps.note_event()
+        if not self._load_entry.begin_output():
+            return
+        name, prompt = self._destination.endpoint.name, self._call.head.prompt
+        if prompt is not None:
+            self._state.knowledge.caches.confirm_read(name, prompt)
+        self._learn_read_rate()
+
+    def end(self, outcome: AttemptOutcome, reply: Reply) -> None:
+        """Note the end of the attempt, whatever ended it, and log it.
+
+        :param outcome: how it ended.
+        :param reply: the answer, as far as it was written.
+        """
+        name, knowledge = self._destination.endpoint.name, self._state.knowledge
+        self._load_entry.end()
+        prompt = self._call.head.prompt
+        if prompt is not None:
+            knowledge.caches.drop_unconfirmed(name, prompt)
+        self._gaps.end()
+        if outcome.end is AttemptEnd.answered:
+            knowledge.health.note_success(name)
+        self._state.metrics.decisions.inc(
+            {'part': 'dispatch', 'reason': outcome.end},
+        )
+        log_attempt(
+            call=self._call,
+            destination=self._destination,
+            outcome=outcome,
+            gaps=self._gaps,
+            number=self._number,
+            started_ms=self._started_ms,
+            now_ms=self._state.clock.now_ms(),
+            first_byte_ms=reply.first_byte_ms if reply.started else None,
+        )
+
+    def _note_prompt(self) -> None:
+        prompt, destination = self._call.head.prompt, self._destination
+        if prompt is None or destination.continues:
+            return
+        name = destination.endpoint.name
+        uncached = destination.load.reading_tokens
+        self._state.knowledge.note_prompt_sent(name, uncached)
+        read_ms = int(destination.start_ms * _READ_SLACK)
+        self._state.knowledge.caches.note_sent(
+            SentPrompt(endpoint=name, parts=prompt.shared, unread=uncached),
+            self._state.clock.now_ms() + read_ms,
+        )
+
+    def _learn_read_rate(self) -> None:
+        waiting = self._destination.candidate.reading_tokens
+        own = self._destination.load.reading_tokens
+        # Of what waited, part was read already; that must not count for much.
+        if waiting > own:
+            return
+        endpoint = self._destination.endpoint
+        self._state.knowledge.speeds.note_start(
+            endpoint.name,
+            endpoint.pool,
+            waiting + own,
+            self._state.clock.now_ms() - self._started_ms,
+        )
--- a/wingfall/gateway/calls/chooser.py
+++ b/wingfall/gateway/calls/destination.py
@@ -1,4 +1,8 @@
-"""Collects what is known of a pool's endpoints and has one chosen."""
+"""Where a call goes: what is known of a pool's endpoints, put to the rules.
+
+Relies on :mod:`wingfall.gateway.rules` for each decision and only collects
+their inputs.
+"""
 
 from __future__ import annotations
 
@@ -6,19 +10,18 @@
 from typing import TYPE_CHECKING, Final, final
 
 from wingfall.gateway.endpoints.load import EndpointLoad
-from wingfall.gateway.rules.cache_transfer import MOST_FAILING, copied_tokens
+from wingfall.gateway.rules.cache_transfer import copied_tokens
 from wingfall.gateway.rules.placement import Candidate, Demand
-from wingfall.gateway.rules.stream_backup import RunLength
+from wingfall.gateway.rules.shortlist import is_long, prefer_sound, shorten
+from wingfall.gateway.rules.stream_backup import choose_backup
 
 if TYPE_CHECKING:
     from wingfall.gateway.model.call import Call
     from wingfall.gateway.model.pool_endpoint import PoolEndpoint
     from wingfall.gateway.model.prompt import Prompt
+    from wingfall.gateway.model.routes import Pool
     from wingfall.gateway.state import GatewayState
 
-# Pools up to this size are considered whole.
-_MOST_CONSIDERED: Final = 64
-_DRAWN: Final = 24
 # What peers sent an engine in the last tenths of a second is not known yet.
 # Gateways that all took the same engine for the best sent to it at once: of
 # 255 late first events at 30 gateways, 254 had other prompts beside them that
@@ -29,8 +32,8 @@
 
 
 @final
-class Choice:
-    """A chosen endpoint and what decided it."""
+class Destination:
+    """Where a call goes next, and what decided it."""
 
     __slots__ = (
         'backup',
@@ -51,11 +54,11 @@
         backup: PoolEndpoint | None = None,
         continues: bool = False,
     ) -> None:
-        """Keep a choice.
+        """Keep a decision.
 
         :param endpoint: the endpoint.
         :param candidate: what was known of it.
-        :param load: the work that the request brings there.
+        :param load: the work that the call adds there.
         :param source: the engine that it copies parts of the prompt from.
         :param backup: the engine that keeps a copy of the run.
         :param continues: whether the endpoint holds such a copy already.
@@ -67,116 +70,48 @@
         self.backup = backup
         self.continues = continues
 
+    @property
+    def start_ms(self) -> float:
+        """Milliseconds until the answer begins, by what was to be read."""
+        waiting = self.candidate.reading_tokens + self.load.reading_tokens
+        return self.candidate.speed.read_ms(waiting)
+
 
-def choose_endpoint(
+def choose_destination(
     state: GatewayState,
     call: Call,
     pool: str,
     avoided: set[str],
-) -> Choice | None:
-    """Choose where a request goes.
+) -> Destination | None:
+    """Choose where a call goes.
 
     :param state: what the gateway knows.
-    :param call: the request.
+    :param call: the call.
     :param pool: name of its pool.
     :param avoided: endpoints that it was sent to before.
-    :returns: the choice, None if the pool has no endpoint left.
+    :returns: the destination, None if the pool has no endpoint left.
     """
-    usable = state.endpoints.usable(pool)
-    narrowed = _narrow(state, call, usable)
-    considered = _acceptable(state, narrowed, avoided)
-    if not considered and len(narrowed) < len(usable):
-        considered = _acceptable(state, usable, avoided)
-    if not considered:
+    weighed = _endpoints_to_weigh(state, call, pool, avoided)
+    if not weighed:
         return None
-    listed = {each.name: each for each in considered}
+    listed = {each.name: each for each in weighed}
     demand = describe_demand(call)
-    candidates = [describe(state, call, each) for each in considered]
-    holder = _offer_copies(state, call, pool, candidates)
-    chosen = state.placement(demand, candidates)
+    candidates = [describe_endpoint(state, call, each) for each in weighed]
+    source = _offer_copies(state, call, pool, candidates)
+    chosen = state.policies.placement(demand, candidates)
     candidates.remove(chosen)
     backup = _choose_backup(state, call, pool, demand, candidates)
-    return Choice(
+    copies = source is not None and chosen.copied_tokens
+    return Destination(
         endpoint=listed[chosen.name],
         candidate=chosen,
         load=added_load(call.head.prompt, demand, chosen),
-        source=listed[holder.name] if holder and chosen.copied_tokens else None,
+        source=listed[source.name] if source and copies else None,
         backup=listed[backup.name] if backup else None,
     )
 
 
-def _choose_backup(
-    state: GatewayState,
-    call: Call,
-    pool: str,
-    demand: Demand,
-    candidates: list[Candidate],
-) -> Candidate | None:
-    known = state.routes.pools.get(pool) if state.routes else None
-    if known is None or not known.backs_up or not call.route.streaming:
-        return None
-    sound = [each for each in candidates if each.failing < MOST_FAILING]
-    length = RunLength(
-        prompt_tokens=demand.tokens,
-        output_tokens=demand.output_tokens,
-    )
-    if not sound or not state.stream_backup(length, call.route.resumable):
-        return None
-    return state.placement(demand, sound)
-
-
-def _offer_copies(
-    state: GatewayState,
-    call: Call,
-    pool: str,
-    candidates: list[Candidate],
-) -> Candidate | None:
-    known = state.routes.pools.get(pool) if state.routes else None
-    if known is None or call.head.prompt is None:
-        return None
-    rate = state.speeds.average(pool).tokens_per_ms
-    speed = known.copy_tokens_per_ms / rate
-    holder = state.cache_transfer(candidates, speed)
-    for candidate in candidates:
-        candidate.copied_tokens = copied_tokens(candidate, holder)
-    return holder
-
-
-def _acceptable(
-    state: GatewayState,
-    endpoints: list[PoolEndpoint],
-    avoided: set[str],
-) -> list[PoolEndpoint]:
-    fresh = [each for each in endpoints if each.name not in avoided]
-    known = [each for each in fresh if not state.health.is_out(each.name)]
-    return known or fresh
-
-
-def _narrow(
-    state: GatewayState,
-    call: Call,
-    endpoints: list[PoolEndpoint],
-) -> list[PoolEndpoint]:
-    # In a large pool: those that keep part of the prompt, and some drawn.
-    if len(endpoints) <= _MOST_CONSIDERED:
-        return endpoints
-    drawn = random.sample(endpoints, _DRAWN)
-    prompt = call.head.prompt
-    if prompt is None:
-        return drawn
-    keeping = [
-        endpoint
-        for endpoint in map(state.endpoints.find, state.caches.keepers(prompt))
-        if endpoint is not None
-        and endpoint.pool == endpoints[0].pool
-        and not endpoint.draining
-    ]
-    if len(keeping) > _DRAWN:
-        keeping = random.sample(keeping, _DRAWN)
-    return list({each.name: each for each in (*keeping, *drawn)}.values())
-
-
-def describe(
+def describe_endpoint(
     state: GatewayState,
     call: Call,
     endpoint: PoolEndpoint,
@@ -184,18 +119,18 @@
     """Collect what is known of an endpoint.
 
     :param state: what the gateway knows.
-    :param call: the request.
+    :param call: the call.
     :param endpoint: the endpoint.
-    :returns: the inputs of the decision.
+    :returns: the inputs of the rules.
     """
-    load = state.load.total(endpoint.name)
-    prompt = call.head.prompt
-    cached, kept, memory_tokens = 0, 0, 0
+    known, prompt = state.knowledge, call.head.prompt
+    load = known.load.total(endpoint.name)
+    cached, all_cached, memory_tokens = 0, 0, 0
     if prompt is not None:
-        cache = state.caches.find(endpoint.name)
+        cache = known.caches.find(endpoint.name)
         cached = cache.cached_tokens(prompt.shared)
-        kept = cache.tokens
-        pool = state.routes.pools.get(endpoint.pool) if state.routes else None
+        all_cached = cache.tokens
+        pool = _find_pool(state, endpoint.pool)
         memory_tokens = pool.memory_tokens if pool else 0
     return Candidate(
         name=endpoint.name,
@@ -206,20 +141,20 @@
         memory_used=load.memory_used,
         memory_tokens=memory_tokens,
         cached_tokens=cached,
-        kept_tokens=kept,
+        all_cached_tokens=all_cached,
         streams=load.streams,
-        speed=state.speed(endpoint.name),
-        recent_reads=state.reads.tokens(endpoint.name),
+        speed=known.speed(endpoint.name),
+        recent_reads=known.long_reads.tokens(endpoint.name),
         unseen_tokens=random.uniform(0, _UNSEEN_TOKENS),  # noqa: S311
-        failing=state.health.failing(endpoint.name),
+        failing=known.health.failing(endpoint.name),
     )
 
 
 def describe_demand(call: Call) -> Demand:
-    """Collect what a request asks of an endpoint.
+    """Collect what a call asks of an endpoint.
 
-    :param call: the request.
-    :returns: the inputs of the decision.
+    :param call: the call.
+    :returns: the inputs of the rules.
     """
     prompt = call.head.prompt
     if prompt is None:
@@ -241,7 +176,7 @@
     demand: Demand,
     candidate: Candidate,
 ) -> EndpointLoad:
-    """Tell what work a request brings to an endpoint.
+    """Tell what work a call adds at an endpoint.
 
     :param prompt: its prompt, if any.
     :param demand: what it asks.
@@ -250,10 +185,79 @@
     """
     if prompt is None:
         return EndpointLoad(running=1)
-    unread = demand.tokens - candidate.cached_tokens
+    uncached = demand.tokens - candidate.cached_tokens
     return EndpointLoad(
         running=1,
-        reading_tokens=unread - candidate.copied_tokens,
-        memory_used=unread + demand.output_tokens,
+        reading_tokens=uncached - candidate.copied_tokens,
+        memory_used=uncached + demand.output_tokens,
         streams={demand.gap_target_ms: 1} if demand.gap_target_ms else {},
     )
+
+
+def _endpoints_to_weigh(
+    state: GatewayState,
+    call: Call,
+    pool: str,
+    avoided: set[str],
+) -> list[PoolEndpoint]:
+    usable = state.knowledge.table.usable(pool)
+    is_out = state.knowledge.health.is_out
+    if not is_long(usable):
+        return prefer_sound(usable, avoided, is_out)
+    shortlist = shorten(usable, _endpoints_that_cache(state, call))
+    weighed = prefer_sound(shortlist, avoided, is_out)
+    return weighed or prefer_sound(usable, avoided, is_out)
+
+
+def _endpoints_that_cache(
+    state: GatewayState,
+    call: Call,
+) -> list[PoolEndpoint]:
+    prompt = call.head.prompt
+    if prompt is None:
+        return []
+    names = state.knowledge.caches.engines_with(prompt)
+    listed = map(state.knowledge.table.find, names)
+    return [endpoint for endpoint in listed if endpoint is not None]
+
+
+def _offer_copies(
+    state: GatewayState,
+    call: Call,
+    pool: str,
+    candidates: list[Candidate],
+) -> Candidate | None:
+    known = _find_pool(state, pool)
+    if known is None or call.head.prompt is None:
+        return None
+    rate = state.knowledge.speeds.average(pool).tokens_per_ms
+    source = state.policies.cache_transfer(
+        candidates,
+        known.copy_tokens_per_ms / rate,
+    )
+    for candidate in candidates:
+        candidate.copied_tokens = copied_tokens(candidate, source)
+    return source
+
+
+def _choose_backup(
+    state: GatewayState,
+    call: Call,
+    pool: str,
+    demand: Demand,
+    candidates: list[Candidate],
+) -> Candidate | None:
+    known = _find_pool(state, pool)
+    if known is None or not known.backs_up or not call.route.streaming:
+        return None
+    return choose_backup(
+        candidates,
+        demand,
+        resumable=call.route.resumable,
+        is_worth_it=state.policies.stream_backup,
+        place=state.policies.placement,
+    )
+
+
+def _find_pool(state: GatewayState, pool: str) -> Pool | None:
+    return state.routes.pools.get(pool) if state.routes else None
--- a/wingfall/gateway/calls/intake.py
+++ b/wingfall/gateway/calls/intake.py
@@ -2,17 +2,13 @@
 
 from __future__ import annotations
 
+import http
 from typing import TYPE_CHECKING, Final
 
 from returns.result import Failure, Result, Success
 
-from wingfall.gateway.calls.refusals import (
-    NOT_FOUND,
-    UNAUTHORIZED,
-    refuse_no_routes,
-    refuse_request,
-)
 from wingfall.gateway.model.call import Call
+from wingfall.gateway.rules.refusals import refuse_no_routes, refuse_request
 
 if TYPE_CHECKING:
     from wingfall.errors import Refusal
@@ -47,12 +43,16 @@
         return Failure(refuse_no_routes(left_ms))
     route = routes.find_route(head.host, head.path)
     if route is None:
-        refusal = refuse_request(NOT_FOUND, 'no_route', 'There is no route.')
+        refusal = refuse_request(
+            http.HTTPStatus.NOT_FOUND,
+            'no_route',
+            'There is no route.',
+        )
         return Failure(refusal)
     customer = _find_customer(routes, route, head)
     if customer is None and _needs_key(routes, route):
         refusal = refuse_request(
-            UNAUTHORIZED,
+            http.HTTPStatus.UNAUTHORIZED,
             'unknown_key',
             'The key is unknown.',
         )
--- a/wingfall/gateway/calls/reply.py
+++ b/wingfall/gateway/calls/reply.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import http
 from typing import TYPE_CHECKING, Final, Protocol, final
 
 import h11
@@ -11,7 +12,14 @@
 
     from wingfall.gateway.model.call import Headers
 
-_REASONS: Final = {503: b'Service Unavailable', 429: b'Too Many Requests'}
+# Reason phrases that are written; callers of the platform read no others.
+_REASONS: Final = {
+    status: status.phrase.encode()
+    for status in (
+        http.HTTPStatus.SERVICE_UNAVAILABLE,
+        http.HTTPStatus.TOO_MANY_REQUESTS,
+    )
+}
 
 
 class EventWriter(Protocol):
--- a/wingfall/gateway/calls/shared_read_wait.py
+++ b/wingfall/gateway/calls/shared_read_wait.py
@@ -10,40 +10,42 @@
 from wingfall.log import log_event
 
 if TYPE_CHECKING:
-    from wingfall.gateway.calls.chooser import Choice
+    from wingfall.gateway.calls.destination import Destination
     from wingfall.gateway.model.call import Call
     from wingfall.gateway.state import GatewayState
 
 _POLL_MS: Final = 5
 
 
-def await_shared_read(state: GatewayState, call: Call, choice: Choice) -> bool:
+def await_shared_read(
+    state: GatewayState, call: Call, destination: Destination
+) -> bool:
     """Wait until the chosen engine has read what another prompt brought.
 
     :param state: what the gateway knows.
     :param call: the request.
-    :param choice: where it is to go.
-    :returns: whether it waited, so that the choice is old.
+    :param destination: where it is to go.
+    :returns: whether it waited, so that the destination is old.
     """
     prompt = call.head.prompt
     if prompt is None:
         return False
     began_ms = state.clock.now_ms()
-    cache = state.caches.find(choice.endpoint.name)
-    pending = cache.being_read(prompt.shared, began_ms)
-    wait_ms = state.shared_read(pending, call.deadline_ms - began_ms)
+    cache = state.knowledge.caches.find(destination.endpoint.name)
+    pending = cache.pending_read(prompt.shared, began_ms)
+    wait_ms = state.policies.shared_read(pending, call.deadline_ms - began_ms)
     if not wait_ms:
         return False
     until_ms = began_ms + wait_ms
     while state.clock.now_ms() < until_ms:
         gevent.sleep(_POLL_MS / MS_PER_S)
-        if not cache.being_read(prompt.shared, began_ms).tokens:
+        if not cache.pending_read(prompt.shared, began_ms).tokens:
             break
     log_event(
         'dispatch',
         'A prompt waited for a shared part.',
         call=call.call_id,
-        endpoint=choice.endpoint.name,
+        endpoint=destination.endpoint.name,
         tokens=pending.tokens,
         estimate_ms=wait_ms,
         waited_ms=state.clock.now_ms() - began_ms,
--- a/wingfall/gateway/calls/stream_continuation.py
+++ b/wingfall/gateway/calls/stream_continuation.py
@@ -4,14 +4,14 @@
 
 from typing import TYPE_CHECKING
 
-from wingfall.gateway.calls.attempt import AttemptEnd
-from wingfall.gateway.calls.chooser import (
-    Choice,
+from wingfall.gateway.calls.destination import (
+    Destination,
     added_load,
-    describe,
     describe_demand,
+    describe_endpoint,
 )
 from wingfall.gateway.endpoints.endpoint_connection import refuses_connections
+from wingfall.gateway.model.attempt_end import AttemptEnd
 
 if TYPE_CHECKING:
     from wingfall.gateway.calls.attempt import AttemptOutcome
@@ -25,46 +25,50 @@
     state: GatewayState,
     call: Call,
     reply: Reply,
-    choice: Choice,
+    destination: Destination,
     outcome: AttemptOutcome,
-) -> Choice | None:
+) -> Destination | None:
     """Choose the engine that goes on with a stream whose engine has ended.
 
     While the first engine lives it may still work on the run, and two engines
-    would work on it; so it has to refuse connections by now.
+    would work on it; so it has to refuse connections by now. The retry budget
+    is asked last, so that nothing of it is taken in vain.
 
     :param state: what the gateway knows.
-    :param call: the request.
+    :param call: the call.
     :param reply: its answer so far.
-    :param choice: where the run was.
+    :param destination: where the run was.
     :param outcome: how the attempt there ended.
-    :returns: the choice, None if the stream can't go on.
+    :returns: the destination, None if the stream can't go on.
     """
-    if outcome.end is not AttemptEnd.cut or choice.backup is None:
+    if outcome.end is not AttemptEnd.cut or destination.backup is None:
         return None
     if reply.last_event_id is None:
         return None
-    if not refuses_connections(choice.endpoint):
+    if not refuses_connections(destination.endpoint):
         return None
-    continuation = _choose_holder(state, call, choice.backup)
-    if continuation is None or not state.budget.take(choice.endpoint.pool):
+    continuation = _describe_continuation(state, call, destination.backup)
+    pool = destination.endpoint.pool
+    if continuation is None or not state.budget.take(pool):
         return None
     return continuation
 
 
-def _choose_holder(
+def _describe_continuation(
     state: GatewayState,
     call: Call,
-    holder: PoolEndpoint,
-) -> Choice | None:
-    listed = state.endpoints.find(holder.name)
-    if listed is None or listed.draining or state.health.is_out(holder.name):
+    backup: PoolEndpoint,
+) -> Destination | None:
+    listed = state.knowledge.table.find(backup.name)
+    if listed is None or listed.draining:
+        return None
+    if state.knowledge.health.is_out(backup.name):
         return None
     demand = describe_demand(call)
-    candidate = describe(state, call, listed)
+    candidate = describe_endpoint(state, call, listed)
     # All is in the copy but what was made in the last moment.
     candidate.cached_tokens = demand.tokens
-    return Choice(
+    return Destination(
         endpoint=listed,
         candidate=candidate,
         load=added_load(call.head.prompt, demand, candidate),
--- a/wingfall/gateway/configuration/object_applier.py
+++ b/wingfall/gateway/configuration/object_applier.py
@@ -58,7 +58,7 @@
         :param spec: what its object says, None once it is gone.
         """
         if spec is None:
-            self._state.endpoints.remove(name)
+            self._state.knowledge.table.remove(name)
             return
         read = self._state.binding.read_endpoint(name, spec)
         if not isinstance(read, Success):
@@ -70,11 +70,11 @@
             )
             return
         endpoint = read.unwrap()
-        self._state.endpoints.put(endpoint)
+        self._state.knowledge.table.put(endpoint)
         self._set_cache_capacity(name, endpoint.pool)
 
     def _set_cache_capacity(self, name: str, pool_name: str) -> None:
         routes = self._state.routes
         pool = routes.pools.get(pool_name) if routes else None
         if pool is not None:
-            self._state.caches.set_capacity(name, pool.memory_tokens)
+            self._state.knowledge.caches.set_capacity(name, pool.memory_tokens)
--- /dev/null
+++ b/wingfall/gateway/endpoints/endpoint_knowledge.py
@@ -0,0 +1,88 @@
+"""What a gateway knows of the endpoints: listed, seen by itself, or told."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, final
+
+from wingfall.gateway.endpoints.endpoint_table import EndpointTable
+from wingfall.gateway.endpoints.load import LoadTable
+from wingfall.gateway.rules.endpoint_health import EndpointHealth
+from wingfall.gateway.rules.engine_speeds import EngineSpeeds
+from wingfall.gateway.rules.placement import SHORT_READ_TOKENS
+from wingfall.gateway.rules.prefix_caches import PrefixCaches
+from wingfall.gateway.rules.recent_reads import RecentReads
+
+if TYPE_CHECKING:
+    from wingfall.clock import Clock
+    from wingfall.gateway.rules.engine_speed import EngineSpeed
+
+
+@final
+class EndpointKnowledge:
+    """Owns one table for each thing that is known of endpoints."""
+
+    __slots__ = (
+        '_clock',
+        'caches',
+        'health',
+        'load',
+        'long_reads',
+        'speeds',
+        'table',
+    )
+
+    def __init__(self, *, clock: Clock) -> None:
+        """Start without an endpoint.
+
+        :param clock: the time.
+        """
+        self._clock = clock
+        # Which there are, by the store.
+        self.table = EndpointTable(clock=clock)
+        # What runs there, by the calls of this gateway and its peers.
+        self.load = LoadTable()
+        # Which parts of prompts they cache, by what was sent and told.
+        self.caches = PrefixCaches()
+        # How fast they read and answer, by the streams of this gateway.
+        self.speeds = EngineSpeeds()
+        # Long prompts that they were sent lately, by all gateways.
+        self.long_reads = RecentReads(clock=clock)
+        # How often they fail, by the calls of all gateways.
+        self.health = EndpointHealth(clock=clock)
+
+    def speed(self, name: str) -> EngineSpeed:
+        """Give what an engine has shown of its speed.
+
+        :param name: the endpoint.
+        :returns: how fast it is; its pool's average where it is new.
+        """
+        known = self.table.find(name)
+        return self.speeds.find(name, known.pool if known else '')
+
+    def ready_ms(self, name: str) -> int:
+        """Estimate when an engine will have read all that was sent to it.
+
+        :param name: the endpoint.
+        :returns: a reading of the clock in milliseconds.
+        """
+        reading = self.load.total(name).reading_tokens
+        read_ms = self.speed(name).read_ms(reading)
+        return self._clock.now_ms() + int(read_ms)
+
+    def note_prompt_sent(self, name: str, uncached_tokens: int) -> None:
+        """Note a prompt that a gateway sent.
+
+        :param name: the endpoint.
+        :param uncached_tokens: its tokens that the engine has to read.
+        """
+        beyond = uncached_tokens - SHORT_READ_TOKENS
+        if beyond > 0:
+            self.long_reads.note(name, beyond)
+
+    def forget_departed(self) -> None:
+        """Forget endpoints that are not listed any more."""
+        names = self.table.names
+        self.health.forget(names)
+        self.caches.forget(names)
+        self.speeds.keep_only(names)
+        self.long_reads.keep_only(names)
--- a/wingfall/gateway/peers/gateway_peers.py
+++ b/wingfall/gateway/peers/gateway_peers.py
@@ -96,7 +96,9 @@
         self._watch_duty = WatchDuty()
         self._heartbeats = Heartbeats(
             name=name,
-            state=state,
+            zone=state.zone,
+            clock=state.clock,
+            knowledge=state.knowledge,
             sessions=self._sessions,
             exchange=ObjectExchange(
                 replicas=replicas,
@@ -105,6 +107,7 @@
             ),
             transfer=transfer,
             watches=watches,
+            is_stopping=lambda: state.draining,
         )
         # Known addresses and the dials in a row that failed.
         self._addresses: dict[str, int] = {}
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -23,10 +23,11 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
+    from wingfall.clock import Clock
+    from wingfall.gateway.endpoints.endpoint_knowledge import EndpointKnowledge
     from wingfall.gateway.peers.object_exchange import ObjectExchange
     from wingfall.gateway.peers.parts_transfer import PartsTransfer
     from wingfall.gateway.peers.peer_session import PeerSession
-    from wingfall.gateway.state import GatewayState
     from wingfall.wire.message import Message
 
 
@@ -35,43 +36,60 @@
     """Sends heartbeats and takes all messages of the sessions."""
 
     __slots__ = (
+        '_clock',
         '_exchange',
         '_handlers',
+        '_is_stopping',
+        '_load',
         '_loads',
         '_schedule',
         '_sessions',
-        '_state',
         '_told_revisions',
         '_told_watching',
         '_transfer',
         '_watches',
+        '_zone',
     )
 
     def __init__(
         self,
         *,
         name: str,
-        state: GatewayState,
+        zone: str,
+        clock: Clock,
+        knowledge: EndpointKnowledge,
         sessions: dict[str, PeerSession],
         exchange: ObjectExchange,
         transfer: PartsTransfer,
         watches: Callable[[], bool],
+        is_stopping: Callable[[], bool],
     ) -> None:
         """Start with nothing told.
 
         :param name: name of this gateway.
-        :param state: what it knows.
+        :param zone: its availability zone.
+        :param clock: the time.
+        :param knowledge: what it knows of endpoints.
         :param sessions: the connected peers by name, kept by their owner.
         :param exchange: gives and takes objects.
         :param transfer: gives and takes what engines keep.
         :param watches: whether this gateway hears the store's changes.
+        :param is_stopping: whether a planned stop has begun.
         """
-        self._state = state
+        self._zone = zone
+        self._clock = clock
+        self._load = knowledge.load
+        self._is_stopping = is_stopping
         self._sessions = sessions
         self._exchange = exchange
         self._transfer = transfer
         self._watches = watches
-        self._loads = LoadExchange(name=name, state=state)
+        self._loads = LoadExchange(
+            name=name,
+            zone=zone,
+            clock=clock,
+            knowledge=knowledge,
+        )
         self._schedule = HeartbeatSchedule()
         self._told_revisions: dict[str, int] = {}
         self._told_watching = False
@@ -93,7 +111,7 @@
         heartbeat = self._make_heartbeat(
             self._loads.own_loads() if near else [],
             News(),
-            self._state.draining,
+            self._is_stopping(),
             whole=True,
         )
         session.connection.send(heartbeat)
@@ -104,7 +122,7 @@
         :param session: the session that ended.
         """
         self._exchange.forget(session)
-        self._state.load.forget(session.name)
+        self._load.forget(session.name)
 
     def receive(self, session: PeerSession, message: Message) -> None:
         """Take a message.
@@ -118,7 +136,7 @@
 
     def step(self) -> None:
         """Tell what is due; called at each tick of the schedule."""
-        now_ms = self._state.clock.now_ms()
+        now_ms = self._clock.now_ms()
         sessions = list(self._sessions.values())
         self._transfer.step(sessions)
         near = len(self._loads.near(sessions))
@@ -126,7 +144,7 @@
         watching = self._watches()
         due = self._schedule.due(
             now_ms,
-            has_news=self._state.load.has_changed,
+            has_news=self._load.has_changed,
             watching=watching,
             new_objects=self._has_new_objects(),
         )
@@ -136,7 +154,7 @@
         if due is not HeartbeatDue.none:
             self._schedule.note_sent(now_ms, due)
             self.tell(
-                leaving=self._state.draining,
+                leaving=self._is_stopping(),
                 whole=due is HeartbeatDue.whole,
             )
         self._loads.relay(sessions, whole=due is HeartbeatDue.whole)
@@ -150,8 +168,7 @@
         sessions = list(self._sessions.values())
         near = self._loads.near(sessions)
         if whole or leaving or self._has_new_objects():
-            zone = self._state.zone
-            far = [each for each in sessions if each.zone != zone]
+            far = [each for each in sessions if each.zone != self._zone]
             _send_to_all(
                 far, self._make_heartbeat([], News(), leaving, whole=True)
             )
@@ -170,7 +187,7 @@
         session.watching = heartbeat.watching
         session.informed = heartbeat.informed
         session.reach = heartbeat.reach
-        session.heard_ms = self._state.clock.now_ms()
+        session.heard_ms = self._clock.now_ms()
         self._loads.hear(
             session,
             heartbeat.loads,
--- a/wingfall/gateway/peers/load_exchange.py
+++ b/wingfall/gateway/peers/load_exchange.py
@@ -34,8 +34,9 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
 
+    from wingfall.clock import Clock
+    from wingfall.gateway.endpoints.endpoint_knowledge import EndpointKnowledge
     from wingfall.gateway.peers.peer_session import PeerSession
-    from wingfall.gateway.state import GatewayState
 
 _ZONE_SILENCE_MS: Final = 3000
 
@@ -45,23 +46,36 @@
     """Keeps the work that other gateways have sent, and tells of the own."""
 
     __slots__ = (
+        '_clock',
+        '_knowledge',
         '_name',
         '_news',
         '_relayed_ms',
         '_relays',
-        '_state',
         '_told',
+        '_zone',
         '_zones_heard_ms',
     )
 
-    def __init__(self, *, name: str, state: GatewayState) -> None:
+    def __init__(
+        self,
+        *,
+        name: str,
+        zone: str,
+        clock: Clock,
+        knowledge: EndpointKnowledge,
+    ) -> None:
         """Start without work.
 
         :param name: name of this gateway.
-        :param state: where work is counted.
+        :param zone: its availability zone.
+        :param clock: the time.
+        :param knowledge: where work, prompts and outcomes are noted.
         """
         self._name = name
-        self._state = state
+        self._zone = zone
+        self._clock = clock
+        self._knowledge = knowledge
         # What other zones have not heard of.
         self._news = News()
         # Work that other zones were told of, None if they know of none.
@@ -77,7 +91,7 @@
         :param sessions: the connected peers.
         :returns: those that are told directly.
         """
-        return [each for each in sessions if each.zone == self._state.zone]
+        return [each for each in sessions if each.zone == self._zone]
 
     def reach(self, sessions: Collection[PeerSession]) -> int:
         """Count the other zones that this gateway hears.
@@ -86,16 +100,16 @@
         :returns: how many.
         """
         within_ms = heard_within_ms(len(sessions))
-        oldest_ms = self._state.clock.now_ms() - within_ms
+        oldest_ms = self._clock.now_ms() - within_ms
         heard = {each.zone for each in sessions if each.heard_ms >= oldest_ms}
-        return len(heard - {self._state.zone})
+        return len(heard - {self._zone})
 
     def own_loads(self) -> list[list[Any]]:
         """Write all work that this gateway has sent.
 
         :returns: the entries of a heartbeat.
         """
-        return write_loads(self._state.load.own)
+        return write_loads(self._knowledge.load.own)
 
     def take_loads(self, *, whole: bool) -> list[list[Any]]:
         """Write the work that peers have not heard of.
@@ -103,7 +117,7 @@
         :param whole: whether to write all there is.
         :returns: the entries of a heartbeat.
         """
-        changed = self._state.load.take_changed()
+        changed = self._knowledge.load.take_changed()
         return self.own_loads() if whole else write_loads(changed)
 
     def take_news(self) -> News:
@@ -111,8 +125,8 @@
 
         :returns: the entries of a heartbeat.
         """
-        sent = self._state.caches.take_news()
-        outcomes = self._state.health.take_news()
+        sent = self._knowledge.caches.take_news()
+        outcomes = self._knowledge.health.take_news()
         news = News(
             sent=[write_sent(each) for each in sent],
             outcomes=write_outcomes(outcomes),
@@ -135,9 +149,9 @@
         :param news: what has happened there.
         :param whole: whether it has no work at other endpoints.
         """
-        self._state.load.hear(session.name, read_loads(loads), whole=whole)
+        self._knowledge.load.hear(session.name, read_loads(loads), whole=whole)
         self._hear_news(news)
-        if session.zone == self._state.zone:
+        if session.zone == self._zone:
             self._news.add(news)
 
     def hear_zone(
@@ -152,11 +166,11 @@
         :param told: the work of a zone.
         :param sessions: the connected peers.
         """
-        if told.zone == self._state.zone:
+        if told.zone == self._zone:
             return
-        self._zones_heard_ms[told.zone] = self._state.clock.now_ms()
+        self._zones_heard_ms[told.zone] = self._clock.now_ms()
         source = _source(told.zone)
-        self._state.load.hear(
+        self._knowledge.load.hear(
             source,
             read_loads(told.loads),
             whole=told.whole,
@@ -177,7 +191,7 @@
         :param sessions: the connected peers.
         :param whole: whether to tell of all work, not only of changes.
         """
-        now_ms = self._state.clock.now_ms()
+        now_ms = self._clock.now_ms()
         self._forget_silent_zones(now_ms)
         near = self.near(sessions)
         heard_since_ms = now_ms - heard_within_ms(len(sessions))
@@ -205,7 +219,7 @@
             log_event(
                 'peers',
                 'The relay of this zone has changed.',
-                zone=self._state.zone,
+                zone=self._zone,
                 relay=self._name if relays or first is None else first.name,
             )
 
@@ -215,7 +229,7 @@
         sessions: Collection[PeerSession],
         heard_since_ms: int,
     ) -> None:
-        zones = {each.zone for each in sessions} - {self._state.zone}
+        zones = {each.zone for each in sessions} - {self._zone}
         for zone in zones:
             there = [each for each in sessions if each.zone == zone]
             relay = find_relay(there, heard_since_ms)
@@ -228,7 +242,7 @@
         *,
         whole: bool,
     ) -> ZoneLoads | None:
-        summed = self._state.load.sum_with(each.name for each in near)
+        summed = self._knowledge.load.sum_with(each.name for each in near)
         work = {name: write_work(load) for name, load in summed.items()}
         whole = whole or self._told is None
         loads = work if whole else _changes(self._told or {}, work)
@@ -238,7 +252,7 @@
         if not (whole or loads) and news.empty:
             return None
         return ZoneLoads(
-            zone=self._state.zone,
+            zone=self._zone,
             loads=[[name, *each] for name, each in loads.items()],
             sent=news.sent,
             whole=whole,
@@ -248,18 +262,20 @@
     def _hear_news(self, news: News) -> None:
         for name, failed, served in news.outcomes:
             outcomes = Outcomes(failed=failed, served=served)
-            self._state.health.hear(name, outcomes)
+            self._knowledge.health.hear(name, outcomes)
         for endpoint, unread, *parts in news.sent:
-            self._state.note_read(endpoint, unread)
+            self._knowledge.note_prompt_sent(endpoint, unread)
             # The peer sees the first event, but doesn't tell: an estimate.
-            ready_ms = self._state.ready_ms(endpoint) if unread else 0
-            self._state.caches.find(endpoint).note(read_parts(parts), ready_ms)
+            ready_ms = self._knowledge.ready_ms(endpoint) if unread else 0
+            self._knowledge.caches.find(endpoint).note(
+                read_parts(parts), ready_ms
+            )
 
     def _forget_silent_zones(self, now_ms: int) -> None:
         for zone, heard_ms in list(self._zones_heard_ms.items()):
             if now_ms - heard_ms > _ZONE_SILENCE_MS:
                 self._zones_heard_ms.pop(zone)
-                self._state.load.forget(_source(zone))
+                self._knowledge.load.forget(_source(zone))
                 log_event(
                     'peers',
                     'A zone has fallen silent; its work is forgotten.',
--- a/wingfall/gateway/peers/memory_survey.py
+++ b/wingfall/gateway/peers/memory_survey.py
@@ -10,6 +10,7 @@
 
 import hashlib
 import heapq
+import http
 from typing import TYPE_CHECKING, Final, final
 
 import gevent
@@ -48,7 +49,6 @@
 _FIRST_LIST_MS: Final = 3000
 _POLL_MS: Final = 20
 _MAX_BYTES: Final = 4_194_304
-_OK: Final = 200
 
 
 @final
@@ -102,13 +102,13 @@
             endpoint
             for pool in routes.pools.values()
             if pool.memory_tokens
-            for endpoint in self._state.endpoints.usable(pool.name)
+            for endpoint in self._state.knowledge.table.usable(pool.name)
         ]
 
     def _ask(self, engine: PoolEndpoint) -> None:
         told = self._exchange(engine).bind(self._state.binding.read_memory)
         if isinstance(told, Success):
-            self._state.caches.learn(engine.name, told.unwrap())
+            self._state.knowledge.caches.learn(engine.name, told.unwrap())
         log_event(
             'survey',
             'An engine was asked what it keeps.',
@@ -151,7 +151,7 @@
             body += bytes(event.data)
             if len(body) > _MAX_BYTES:
                 raise AnswerBrokenError('an answer beyond all bounds')
-        if response.status_code != _OK:
+        if response.status_code != http.HTTPStatus.OK:
             return Failure(f'status {response.status_code}')
         return Success(body)
 
--- a/wingfall/gateway/peers/parts_transfer.py
+++ b/wingfall/gateway/peers/parts_transfer.py
@@ -19,8 +19,9 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
 
+    from wingfall.clock import Clock
     from wingfall.gateway.peers.peer_session import PeerSession
-    from wingfall.gateway.state import GatewayState
+    from wingfall.gateway.rules.prefix_caches import PrefixCaches
 
 _TICK_MS: Final = 50
 # For so long only peers of the own availability zone are asked.
@@ -44,19 +45,31 @@
         '_asked_until_ms',
         '_backoff',
         '_behind_since_ms',
-        '_state',
+        '_caches',
+        '_clock',
+        '_zone',
         'informed',
     )
 
-    def __init__(self, *, state: GatewayState) -> None:
+    def __init__(
+        self,
+        *,
+        zone: str,
+        clock: Clock,
+        caches: PrefixCaches,
+    ) -> None:
         """Start without knowledge.
 
-        :param state: where what is learned is kept.
+        :param zone: availability zone of this gateway.
+        :param clock: the time.
+        :param caches: where what is learned is kept.
         """
-        self._state = state
+        self._zone = zone
+        self._clock = clock
+        self._caches = caches
         # Whether this gateway knows as much as any other.
         self.informed = False
-        self._behind_since_ms = state.clock.now_ms()
+        self._behind_since_ms = clock.now_ms()
         self._asked: PeerSession | None = None
         self._asked_until_ms = 0
         self._backoff = Backoff(min_ms=_ANSWER_MS, max_ms=_MAX_ANSWER_MS)
@@ -69,14 +82,14 @@
         """
         if self.informed and connected * 2 < known:
             self.informed = False
-            self._behind_since_ms = self._state.clock.now_ms()
+            self._behind_since_ms = self._clock.now_ms()
 
     def step(self, sessions: Collection[PeerSession]) -> None:
         """Ask a peer if that is due.
 
         :param sessions: the connected peers.
         """
-        now_ms = self._state.clock.now_ms()
+        now_ms = self._clock.now_ms()
         if self.informed or now_ms < self._asked_until_ms:
             return
         behind_ms = now_ms - self._behind_since_ms
@@ -94,7 +107,7 @@
         :param session: the peer.
         :param fetch: what it asks for.
         """
-        models = self._state.caches.models()
+        models = self._caches.models()
         most = fetch.most // max(1, len(models))
         parts = [
             [name, *map(list, cache.recent(min(most, _MOST_PARTS_EACH)))]
@@ -109,7 +122,7 @@
         :param page: its answer.
         """
         for endpoint, *parts in page.parts:
-            self._state.caches.find(endpoint).note(read_parts(parts))
+            self._caches.find(endpoint).note(read_parts(parts))
         self.informed = True
         self._backoff.reset()
         log_event(
@@ -126,7 +139,7 @@
         :param timeout_ms: for how long, unless a peer was asked meanwhile.
         :returns: whether one has.
         """
-        clock = self._state.clock
+        clock = self._clock
         until_ms = clock.now_ms() + timeout_ms
         while not self.informed:
             if clock.now_ms() >= max(until_ms, self._asked_until_ms):
@@ -141,7 +154,7 @@
         near_only: bool,
     ) -> PeerSession | None:
         knowing = [session for session in sessions if session.informed]
-        near = [each for each in knowing if each.zone == self._state.zone]
+        near = [each for each in knowing if each.zone == self._zone]
         far = [] if near_only else knowing
         # Another one than last time, if there is one.
         return min(
--- a/wingfall/gateway/rules/early_refusal.py
+++ b/wingfall/gateway/rules/early_refusal.py
@@ -12,6 +12,7 @@
 
 from returns.result import Failure, Result, Success
 
+from wingfall.gateway.rules.retry_after import retry_after_queue_ms
 from wingfall.registry import Registry
 
 # The most urgent tier is refused only if it would start after so much of the
@@ -19,8 +20,6 @@
 # that start meanwhile must not be served instead. For all tiers it was worth
 # 0.13 less of a day at high load where prompts are long (three seeds).
 _URGENT_PART: Final = 0.5
-# A caller needs some time to come back at all, and the estimate is no better.
-_MIN_RETRY_MS: Final = 200
 
 
 @final
@@ -66,8 +65,13 @@
         bound_ms = max(bound_ms, estimate.left_ms * _URGENT_PART)
     if estimate.start_ms <= bound_ms:
         return Success(None)
-    over_ms = estimate.start_ms - estimate.target_ms / 2
-    return Failure(int(max(_MIN_RETRY_MS, min(over_ms, estimate.left_ms))))
+    return Failure(
+        retry_after_queue_ms(
+            estimate.start_ms,
+            estimate.target_ms,
+            estimate.left_ms,
+        ),
+    )
 
 
 @admissions.register('always')
--- a/wingfall/gateway/rules/placement.py
+++ b/wingfall/gateway/rules/placement.py
@@ -50,7 +50,7 @@
         'cached_tokens',
         'copied_tokens',
         'failing',
-        'kept_tokens',
+        'all_cached_tokens',
         'memory_tokens',
         'memory_used',
         'name',
@@ -76,7 +76,7 @@
         memory_tokens: int = 0,
         cached_tokens: int = 0,
         copied_tokens: int = 0,
-        kept_tokens: int = 0,
+        all_cached_tokens: int = 0,
         streams: dict[int, int] | None = None,
         speed: EngineSpeed | None = None,
         recent_reads: float = 0,
@@ -95,7 +95,7 @@
         :param cached_tokens: tokens of this prompt that it keeps.
         :param copied_tokens: tokens of this prompt that it would copy from
             another engine.
-        :param kept_tokens: tokens of all prompts that it keeps.
+        :param all_cached_tokens: tokens of all prompts that it keeps.
         :param streams: how many streams there bear which longest pause in
             milliseconds.
         :param speed: what it has shown of its reading and its pauses.
@@ -112,7 +112,7 @@
         self.memory_tokens = memory_tokens
         self.cached_tokens = cached_tokens
         self.copied_tokens = copied_tokens
-        self.kept_tokens = kept_tokens
+        self.all_cached_tokens = all_cached_tokens
         self.streams = streams or {}
         self.speed = speed or EngineSpeed()
         self.recent_reads = recent_reads
@@ -223,7 +223,7 @@
     cost += candidate.running * _RUNNING_TOKENS
     cost += held_up_streams(demand, candidate, unread) * _HELD_UP_TOKENS
     cost += late_start(demand, candidate, unread) * _LATE_START_TOKENS
-    cost += candidate.kept_tokens * _KEPT_SHARE
+    cost += candidate.all_cached_tokens * _KEPT_SHARE
     cost += candidate.failing * _FAILING_TOKENS
     if candidate.remote:
         cost += demand.body_bytes * _TOKENS_PER_REMOTE_BYTE
--- /dev/null
+++ b/wingfall/gateway/rules/policies.py
@@ -0,0 +1,79 @@
+"""The rules that settings choose by name."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, final
+
+from returns.iterables import Fold
+from returns.result import Success
+
+from wingfall.gateway.rules.cache_transfer import cache_transfers
+from wingfall.gateway.rules.early_refusal import admissions
+from wingfall.gateway.rules.placement import placements
+from wingfall.gateway.rules.shared_read import shared_reads
+from wingfall.gateway.rules.stream_backup import stream_backups
+
+if TYPE_CHECKING:
+    from types import SimpleNamespace
+
+    from returns.result import Result
+
+    from wingfall.gateway.rules.cache_transfer import CacheTransfer
+    from wingfall.gateway.rules.early_refusal import Admission
+    from wingfall.gateway.rules.placement import Placement
+    from wingfall.gateway.rules.shared_read import SharedRead
+    from wingfall.gateway.rules.stream_backup import StreamBackup
+
+
+@final
+class Policies:
+    """One rule of each kind."""
+
+    __slots__ = (
+        'admission',
+        'cache_transfer',
+        'placement',
+        'shared_read',
+        'stream_backup',
+    )
+
+    def __init__(
+        self,
+        *,
+        placement: Placement,
+        admission: Admission,
+        cache_transfer: CacheTransfer,
+        shared_read: SharedRead,
+        stream_backup: StreamBackup,
+    ) -> None:
+        """Join the rules.
+
+        :param placement: chooses endpoints.
+        :param admission: refuses prompts that would start too late.
+        :param cache_transfer: tells from where engines copy cached parts.
+        :param shared_read: tells how long prompts wait for a shared part.
+        :param stream_backup: tells which streams a second engine backs up.
+        """
+        self.placement = placement
+        self.admission = admission
+        self.cache_transfer = cache_transfer
+        self.shared_read = shared_read
+        self.stream_backup = stream_backup
+
+
+def find_policies(names: SimpleNamespace) -> Result[Policies, str]:
+    """Find the rules that settings name.
+
+    :param names: section ``policy`` of the settings.
+    :returns: the rules, or a sentence with the names there are.
+    """
+    found = {
+        'placement': placements.find(names.placement),
+        'admission': admissions.find(names.admission),
+        'cache_transfer': cache_transfers.find(names.cache_transfer),
+        'shared_read': shared_reads.find(names.shared_read),
+        'stream_backup': stream_backups.find(names.stream_backup),
+    }
+    return Fold.collect(found.values(), Success(())).map(
+        lambda rules: Policies(**dict(zip(found, rules, strict=True))),
+    )
--- a/wingfall/gateway/rules/prefix_cache.py
+++ b/wingfall/gateway/rules/prefix_cache.py
@@ -112,7 +112,7 @@
             total += part.tokens
         return total
 
-    def being_read(
+    def pending_read(
         self,
         parts: Iterable[PromptPart],
         now_ms: int,
@@ -130,7 +130,7 @@
             ready_in_ms=max(ready, default=now_ms) - now_ms,
         )
 
-    def note_read(self, parts: Iterable[PromptPart]) -> None:
+    def confirm_read(self, parts: Iterable[PromptPart]) -> None:
         """Remember that a prompt has been read.
 
         :param parts: its shared parts.
@@ -138,8 +138,8 @@
         for part in parts:
             self._ready_ms.pop(part.part_id, None)
 
-    def note_unread(self, parts: Iterable[PromptPart]) -> None:
-        """Forget what a prompt that has failed was to bring.
+    def drop_unconfirmed(self, parts: Iterable[PromptPart]) -> None:
+        """Forget the parts of a prompt that have not been read.
 
         :param parts: its shared parts.
         """
--- a/wingfall/gateway/rules/prefix_caches.py
+++ b/wingfall/gateway/rules/prefix_caches.py
@@ -7,7 +7,6 @@
 from wingfall.gateway.rules.prefix_cache import PartIndex, PrefixCache
 
 if TYPE_CHECKING:
-    from wingfall.gateway.model.call import Call
     from wingfall.gateway.model.prompt import Prompt, PromptPart
 
 # Parts of one engine that peers are told of at once.
@@ -48,7 +47,7 @@
         """Start empty."""
         self._by_endpoint: dict[str, PrefixCache] = {}
         self._index = PartIndex()
-        # Sendings that the peers have not heard of yet.
+        # Prompts that peers have not been told of yet.
         self.news: list[SentPrompt] = []
 
     def find(self, endpoint: str) -> PrefixCache:
@@ -63,7 +62,7 @@
             self._by_endpoint[endpoint] = known
         return known
 
-    def keepers(self, prompt: Prompt) -> set[str]:
+    def engines_with(self, prompt: Prompt) -> set[str]:
         """Name the engines that keep the beginning of a prompt.
 
         :param prompt: the prompt.
@@ -95,23 +94,21 @@
         self.find(sent.endpoint).note(sent.parts, ready_ms)
         self.news.append(sent)
 
-    def note_read(self, endpoint: str, call: Call) -> None:
+    def confirm_read(self, endpoint: str, prompt: Prompt) -> None:
         """Note that an engine has read a prompt, since its answer began.
 
         :param endpoint: its name.
-        :param call: the request.
+        :param prompt: the prompt.
         """
-        if call.head.prompt is not None:
-            self.find(endpoint).note_read(call.head.prompt.shared)
+        self.find(endpoint).confirm_read(prompt.shared)
 
-    def note_unread(self, endpoint: str, call: Call) -> None:
-        """Note that an attempt has ended; what it didn't read isn't kept.
+    def drop_unconfirmed(self, endpoint: str, prompt: Prompt) -> None:
+        """Note that an attempt has ended; what it didn't read isn't cached.
 
         :param endpoint: its name.
-        :param call: the request.
+        :param prompt: the prompt.
         """
-        if call.head.prompt is not None:
-            self.find(endpoint).note_unread(call.head.prompt.shared)
+        self.find(endpoint).drop_unconfirmed(prompt.shared)
 
     def learn(self, endpoint: str, parts: tuple[PromptPart, ...]) -> None:
         """Take what an engine itself says it keeps, and tell the peers.
--- /dev/null
+++ b/wingfall/gateway/rules/refusals.py
@@ -0,0 +1,113 @@
+"""The final answers of a gateway that are not an endpoint's.
+
+429 and 503 promise that the request has not run and never will; where it may
+have run the status is 502 or 504.
+"""
+
+from __future__ import annotations
+
+import http
+
+from wingfall.errors import Refusal, RunState
+from wingfall.gateway.model.attempt_end import AttemptEnd
+from wingfall.gateway.rules.retry_after import retry_after_unknown_ms
+
+
+def refuse_after(end: AttemptEnd, run: RunState, left_ms: int) -> Refusal:
+    """Refuse a call that is given up.
+
+    :param end: how its last attempt ended; ``late`` if its time is over,
+        ``not_sent`` if there is no endpoint left.
+    :param run: whether it may have run.
+    :param left_ms: milliseconds that its caller still waits.
+    :returns: the refusal.
+    """
+    if run is RunState.not_run:
+        return _refuse_not_run(end, left_ms)
+    if end is AttemptEnd.late:
+        return Refusal(
+            status=http.HTTPStatus.GATEWAY_TIMEOUT,
+            kind='timeout',
+            code='out_of_time',
+            message='No answer came in time.',
+            run=run,
+        )
+    return Refusal(
+        status=http.HTTPStatus.BAD_GATEWAY,
+        kind='endpoint',
+        code='answer_lost',
+        message='The answer of the endpoint was lost.',
+        run=run,
+    )
+
+
+def refuse_fault() -> Refusal:
+    """Refuse a call that a fault of the program ended.
+
+    :returns: the refusal, which doesn't tell whether it has run.
+    """
+    return Refusal(
+        status=http.HTTPStatus.BAD_GATEWAY,
+        kind='gateway',
+        code='internal_fault',
+        message='The gateway failed.',
+        run=RunState.unknown,
+    )
+
+
+def refuse_early(retry_after_ms: int) -> Refusal:
+    """Refuse a call that would start too late.
+
+    :param retry_after_ms: when its caller may come back.
+    :returns: the refusal.
+    """
+    return Refusal(
+        status=http.HTTPStatus.SERVICE_UNAVAILABLE,
+        kind='capacity',
+        code='too_late',
+        message='The endpoints are too far behind.',
+        retry_after_ms=retry_after_ms,
+    )
+
+
+def refuse_no_routes(left_ms: int) -> Refusal:
+    """Refuse a call before there is a configuration.
+
+    :param left_ms: milliseconds that its caller still waits.
+    :returns: the refusal.
+    """
+    message = 'There is no configuration yet.'
+    return _unavailable('no_configuration', message, left_ms)
+
+
+def refuse_request(status: int, code: str, message: str) -> Refusal:
+    """Refuse a request that can't be served as it is.
+
+    :param status: the HTTP status.
+    :param code: stable word for programs.
+    :param message: sentence for people.
+    :returns: the refusal.
+    """
+    return Refusal(
+        status=status,
+        kind='invalid_request',
+        code=code,
+        message=message,
+    )
+
+
+def _refuse_not_run(end: AttemptEnd, left_ms: int) -> Refusal:
+    if end is AttemptEnd.not_sent:
+        message = 'No endpoint can be reached.'
+        return _unavailable('no_endpoint', message, left_ms)
+    return _unavailable('no_capacity', 'The endpoints are full.', left_ms)
+
+
+def _unavailable(code: str, message: str, left_ms: int) -> Refusal:
+    return Refusal(
+        status=http.HTTPStatus.SERVICE_UNAVAILABLE,
+        kind='capacity',
+        code=code,
+        message=message,
+        retry_after_ms=retry_after_unknown_ms(left_ms),
+    )
--- /dev/null
+++ b/wingfall/gateway/rules/retry_after.py
@@ -0,0 +1,44 @@
+"""After how long a refused caller is told to come back.
+
+A caller that comes back uses what is left of its time, so it is never told
+more than that. There are two cases: the queue of an engine is known, or
+nothing is known but that no endpoint takes the call now.
+"""
+
+from __future__ import annotations
+
+from typing import Final
+
+# Milliseconds that a caller needs to come back at all. Not measured: chosen as
+# what an estimate of a queue may be wrong by.
+_MIN_QUEUE_RETRY_MS: Final = 200
+# Of the target: the call starts by then if the estimate is right. Not measured:
+# chosen so that the estimate may be wrong by as much again.
+_TARGET_PART: Final = 0.5
+# Where nothing is known. Not measured: chosen so that a caller that comes back
+# still has three quarters of its time, and asks each second at the latest.
+_LEFT_DIVISOR: Final = 4
+_MIN_BLIND_RETRY_MS: Final = 50
+_MAX_BLIND_RETRY_MS: Final = 1000
+
+
+def retry_after_queue_ms(start_ms: float, target_ms: int, left_ms: int) -> int:
+    """Tell when an engine's queue will be short enough.
+
+    :param start_ms: milliseconds until the call would start there.
+    :param target_ms: milliseconds in which it should.
+    :param left_ms: milliseconds that its caller still waits.
+    :returns: milliseconds to wait.
+    """
+    over_ms = start_ms - target_ms * _TARGET_PART
+    return int(max(_MIN_QUEUE_RETRY_MS, min(over_ms, left_ms)))
+
+
+def retry_after_unknown_ms(left_ms: int) -> int:
+    """Tell when to come back where no endpoint takes the call.
+
+    :param left_ms: milliseconds that its caller still waits.
+    :returns: milliseconds to wait.
+    """
+    retry_ms = min(_MAX_BLIND_RETRY_MS, left_ms // _LEFT_DIVISOR)
+    return max(_MIN_BLIND_RETRY_MS, retry_ms)
--- a/wingfall/gateway/rules/resend_budget.py
+++ b/wingfall/gateway/rules/retry_budget.py
@@ -1,4 +1,9 @@
-"""How many requests may be sent a second time, over all routers together."""
+"""How many requests may be sent a second time, over all gateways together.
+
+Without a bound a failing pool would get each request several times, just when
+its capacity is short. The platform bounds the retries of all gateways; each
+takes its part without asking the others.
+"""
 
 from __future__ import annotations
 
@@ -8,20 +13,21 @@
 if TYPE_CHECKING:
     from wingfall.clock import Clock
 
-# Part of the bound that is used, since windows slide and routers differ.
+# Part of the bound that is used, since the windows of gateways don't slide
+# together. Not measured: chosen so that a fifth of them may be late.
 _USED_PART: Final = 0.8
 
 
 @final
-class ResendBudget:
-    """A sliding window of requests and second sendings for each pool."""
+class RetryBudget:
+    """A sliding window of requests and retries for each pool."""
 
     __slots__ = (
         '_clock',
-        '_fresh',
+        '_gateways',
         '_ratio',
-        '_resent',
-        '_routers',
+        '_requests',
+        '_retries',
         '_slack',
         '_window_ms',
     )
@@ -37,42 +43,42 @@
         """Start with the whole budget.
 
         :param clock: the time.
-        :param ratio: second sendings a fresh request, over all routers.
-        :param slack: second sendings a window beyond that, over all routers.
+        :param ratio: retries a request, over all gateways.
+        :param slack: retries a window beyond that, over all gateways.
         :param window_ms: length of the window.
         """
         self._clock = clock
         self._ratio = ratio
         self._slack = slack
         self._window_ms = window_ms
-        self._routers = 1
-        self._fresh: dict[str, collections.deque[int]] = {}
-        self._resent: dict[str, collections.deque[int]] = {}
+        self._gateways = 1
+        self._requests: dict[str, collections.deque[int]] = {}
+        self._retries: dict[str, collections.deque[int]] = {}
 
     def set_bounds(self, ratio: float, slack: float, window_ms: int) -> None:
         """Change the bounds; what was counted stays counted.
 
-        :param ratio: second sendings a fresh request, over all routers.
-        :param slack: second sendings a window beyond that.
+        :param ratio: retries a request, over all gateways.
+        :param slack: retries a window beyond that.
         :param window_ms: length of the window.
         """
         self._ratio = ratio
         self._slack = slack
         self._window_ms = window_ms
 
-    def share_among(self, routers: int) -> None:
-        """Tell how many routers share the slack.
+    def share_among(self, gateways: int) -> None:
+        """Tell how many gateways share the slack.
 
-        :param routers: how many there are, this one among them.
+        :param gateways: how many there are, this one among them.
         """
-        self._routers = max(1, routers)
+        self._gateways = max(1, gateways)
 
-    def note_fresh(self, pool: str) -> None:
+    def note_request(self, pool: str) -> None:
         """Count a request.
 
         :param pool: the pool that it is for.
         """
-        self._recent(self._fresh, pool).append(self._clock.now_ms())
+        self._recent(self._requests, pool).append(self._clock.now_ms())
 
     def take(self, pool: str) -> bool:
         """Ask to send a request once more.
@@ -80,12 +86,12 @@
         :param pool: the pool that it is for.
         :returns: whether it may be sent; it is counted if so.
         """
-        resent = self._recent(self._resent, pool)
-        fresh = self._recent(self._fresh, pool)
-        allowed = self._ratio * len(fresh) + self._slack / self._routers
-        if len(resent) + 1 > allowed * _USED_PART:
+        retries = self._recent(self._retries, pool)
+        requests = self._recent(self._requests, pool)
+        allowed = self._ratio * len(requests) + self._slack / self._gateways
+        if len(retries) + 1 > allowed * _USED_PART:
             return False
-        resent.append(self._clock.now_ms())
+        retries.append(self._clock.now_ms())
         return True
 
     def _recent(
--- a/wingfall/gateway/rules/stream_backup.py
+++ b/wingfall/gateway/rules/stream_backup.py
@@ -8,10 +8,16 @@
 
 from __future__ import annotations
 
-from typing import Callable, Final, final
+from typing import TYPE_CHECKING, Callable, Final, final
 
+from wingfall.gateway.rules.cache_transfer import MOST_FAILING
 from wingfall.registry import Registry
 
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from wingfall.gateway.rules.placement import Candidate, Demand, Placement
+
 # A copy costs the bytes of prompt and answer; what it saves grows with the
 # time that the stream runs, so with its answer. Answers half as long as their
 # prompt or longer: of 6,674 short streams 305 were lost instead of 341, 5,475
@@ -60,3 +66,30 @@
     :returns: False.
     """
     return False
+
+
+def choose_backup(
+    candidates: Sequence[Candidate],
+    demand: Demand,
+    *,
+    resumable: bool,
+    is_worth_it: StreamBackup,
+    place: Placement,
+) -> Candidate | None:
+    """Choose the engine that keeps a copy of a stream's run.
+
+    :param candidates: the engines but for the one that runs it.
+    :param demand: what the stream asks of an engine.
+    :param resumable: whether another engine may resume the stream without.
+    :param is_worth_it: the policy that settings have chosen.
+    :param place: chooses among engines.
+    :returns: the engine, None if there is to be no copy.
+    """
+    sound = [each for each in candidates if each.failing < MOST_FAILING]
+    length = RunLength(
+        prompt_tokens=demand.tokens,
+        output_tokens=demand.output_tokens,
+    )
+    if not sound or not is_worth_it(length, resumable):
+        return None
+    return place(demand, sound)
--- a/wingfall/platform/headers.py
+++ b/wingfall/platform/headers.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import http
 from typing import TYPE_CHECKING, Final
 
 from wingfall.gateway.model.binding import AnswerHead
@@ -24,8 +25,6 @@
 _LENGTH_HINT: Final = b'x-length-hint'
 _NOT_RUN: Final = b'x-not-executed'
 _KEY_SCHEME: Final = 'token '
-_MISDIRECTED: Final = 421
-_SERVER_ERROR: Final = 500
 _MAX_TIER: Final = 9
 
 # They speak of one connection only, or are the system's own to set.
@@ -135,12 +134,12 @@
     :returns: what it means.
     """
     first = _first_values(headers)
-    foreign = status == _MISDIRECTED
+    foreign = status == http.HTTPStatus.MISDIRECTED_REQUEST
     return AnswerHead(
         call_id=_text(first.get(_CALL_ID)),
         not_run=foreign or _NOT_RUN in first,
         valid=b'content-encoding' not in first,
-        retry_elsewhere=status >= _SERVER_ERROR,
+        retry_elsewhere=status >= http.HTTPStatus.INTERNAL_SERVER_ERROR,
     )
 
 
--- a/wingfall/platform/store.py
+++ b/wingfall/platform/store.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import http
 import socket
 from typing import TYPE_CHECKING, Any, Final, final
 
@@ -19,7 +20,6 @@
     from wingfall.metrics import Metrics
 
 _OBJECTS: Final = '/wingfall/objects'
-_OK: Final = 200
 # Milliseconds by which the answer of a watch may be late.
 _SLACK_MS: Final = 1000
 # A watch that doesn't wait; the store takes whole milliseconds from 1 on.
@@ -151,7 +151,7 @@
         finally:
             labels = {'verb': 'GET', 'status': str(status)}
             self._metrics.platform_calls.inc(labels)
-        if status != _OK:
+        if status != http.HTTPStatus.OK:
             text = body.decode(errors='replace')[:_MAX_MESSAGE]
             return Failure(PlatformError(status=status, message=text))
         return _parse(body)
@@ -172,7 +172,9 @@
     try:
         return Success(orjson.loads(body))
     except orjson.JSONDecodeError as error:
-        return Failure(PlatformError(status=_OK, message=str(error)))
+        return Failure(
+            PlatformError(status=http.HTTPStatus.OK, message=str(error))
+        )
 
 
 def _read_page(
@@ -183,7 +185,9 @@
         reading = StoreReading(revision=int(body['at']), objects=objects)
         return Success((reading, bool(body.get('more'))))
     except (KeyError, TypeError, ValueError):
-        return Failure(PlatformError(status=_OK, message='not a list'))
+        return Failure(
+            PlatformError(status=http.HTTPStatus.OK, message='not a list')
+        )
 
 
 def _read_changes(body: Any) -> Result[StoreReading, PlatformError]:
@@ -194,7 +198,9 @@
         ]
         return Success(StoreReading(revision=int(body['at']), objects=objects))
     except (KeyError, TypeError, ValueError):
-        return Failure(PlatformError(status=_OK, message='not changes'))
+        return Failure(
+            PlatformError(status=http.HTTPStatus.OK, message='not changes')
+        )
 
 
 def _read_object(raw: Any, *, gone: bool) -> StoredObject:
