--- a/tests/test_cache_transfer.py
+++ b/tests/test_cache_transfer.py
@@ -8,7 +8,7 @@
     copy_from_most_kept,
     copy_nothing,
 )
-from wingfall.gateway.rules.placement import Candidate
+from wingfall.gateway.rules.candidate import Candidate
 
 FAST = 30.0
 
--- a/tests/test_call_rules.py
+++ b/tests/test_call_rules.py
@@ -20,12 +20,9 @@
 from wingfall.gateway.calls.dispatcher import Dispatch
 from wingfall.gateway.model.attempt_end import AttemptEnd
 from wingfall.gateway.model.pool_endpoint import PoolEndpoint
+from wingfall.gateway.rules.candidate import Candidate, Demand
 from wingfall.gateway.rules.early_refusal import StartEstimate, admit_by_target
-from wingfall.gateway.rules.placement import (
-    Candidate,
-    Demand,
-    place_by_reading,
-)
+from wingfall.gateway.rules.placement import place_by_reading
 from wingfall.gateway.rules.refusals import (
     refuse_after,
     refuse_early,
--- a/tests/test_gateway_config.py
+++ b/tests/test_gateway_config.py
@@ -281,7 +281,7 @@
     gateway_site: GatewaySite,
     monkeypatch: pytest.MonkeyPatch,
 ):
-    monkeypatch.setattr('wingfall.gateway.peers.gateway_peers._MOST_KNOWN', 2)
+    monkeypatch.setattr('wingfall.gateway.peers.peer_addresses._MOST_NAMED', 2)
     for _gateway in range(8):
         gateway_site.start_gateway()
     wait_until(
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,9 +4,8 @@
 
 import pytest
 
+from wingfall.gateway.rules.candidate import Candidate, Demand
 from wingfall.gateway.rules.placement import (
-    Candidate,
-    Demand,
     late_start,
     late_streams,
     place_by_reading,
--- a/wingfall/gateway/callers/caller_connection.py
+++ b/wingfall/gateway/callers/caller_connection.py
@@ -9,15 +9,14 @@
 
 import gevent
 import h11
-import orjson
 from gevent.socket import wait_read
 from returns.result import Success
 
 from wingfall.clock import MS_PER_S
 from wingfall.gateway.calls.dispatcher import Dispatch, ReplyCutError
 from wingfall.gateway.calls.final_answer import (
-    JSON,
     note_answer,
+    send_not_a_request,
     send_refusal,
 )
 from wingfall.gateway.calls.intake import accept_call
@@ -291,12 +290,7 @@
         log_event('callers', 'Not a request.', status=status, error=str(error))
         if self._http.our_state not in {h11.IDLE, h11.SEND_RESPONSE}:
             return
-        refusal = refuse_request(status, 'not_a_request', 'Not a request.')
         try:
-            self._make_reply().send_whole(
-                refusal.status,
-                [JSON],
-                orjson.dumps({'error': {'message': refusal.message}}),
-            )
+            send_not_a_request(self._make_reply(), status)
         except (CallerGoneError, h11.LocalProtocolError):
             return
--- a/wingfall/gateway/calls/attempt.py
+++ b/wingfall/gateway/calls/attempt.py
@@ -8,6 +8,11 @@
 
 import h11
 
+from wingfall.gateway.calls.attempt_outcome import (
+    AttemptLimits,
+    AttemptOutcome,
+    WholeAnswer,
+)
 from wingfall.gateway.endpoints.endpoint_connection import (
     AnswerBrokenError,
     AnswerLateError,
@@ -22,8 +27,8 @@
     from wingfall.gateway.calls.reply import Reply
     from wingfall.gateway.endpoints.endpoint_connection import (
         EndpointConnection,
-        KeptConnections,
     )
+    from wingfall.gateway.endpoints.kept_connections import KeptConnections
     from wingfall.gateway.model.binding import AnswerHead, Binding
     from wingfall.gateway.model.call import Call, Headers
 
@@ -34,64 +39,6 @@
 _MAX_WHOLE_BYTES: Final = 8_388_608
 
 
-@final
-class WholeAnswer:
-    """An answer read to its end."""
-
-    __slots__ = ('body', 'headers', 'status')
-
-    def __init__(self, *, status: int, headers: Headers, body: bytes) -> None:
-        """Keep an answer.
-
-        :param status: its status.
-        :param headers: the headers that the caller shall see.
-        :param body: its body.
-        """
-        self.status = status
-        self.headers = headers
-        self.body = body
-
-
-@final
-class AttemptOutcome:
-    """How an attempt ended, and the whole answer if there is one."""
-
-    __slots__ = ('answer', 'end', 'reason')
-
-    def __init__(
-        self,
-        *,
-        end: AttemptEnd,
-        answer: WholeAnswer | None = None,
-        reason: str = '',
-    ) -> None:
-        """Describe the end.
-
-        :param end: how it ended.
-        :param answer: an answer that isn't passed on yet.
-        :param reason: what was seen, for logs.
-        """
-        self.end = end
-        self.answer = answer
-        self.reason = reason
-
-
-@final
-class AttemptLimits:
-    """Until when an attempt may take."""
-
-    __slots__ = ('deadline_ms', 'first_byte_ms')
-
-    def __init__(self, *, deadline_ms: int, first_byte_ms: int) -> None:
-        """Set the limits, both readings of the clock.
-
-        :param deadline_ms: when the call ends.
-        :param first_byte_ms: when the answer must have begun.
-        """
-        self.deadline_ms = deadline_ms
-        self.first_byte_ms = first_byte_ms
-
-
 @final
 class Attempt:
     """Sends a call to an endpoint and reads the answer."""
--- a/wingfall/gateway/calls/attempt_log.py
+++ b/wingfall/gateway/calls/attempt_log.py
@@ -11,11 +11,11 @@
 from wingfall.log import log_event
 
 if TYPE_CHECKING:
-    from wingfall.gateway.calls.attempt import AttemptOutcome
+    from wingfall.gateway.calls.attempt_outcome import AttemptOutcome
     from wingfall.gateway.calls.destination import Destination
     from wingfall.gateway.calls.token_gap_watch import TokenGapWatch
     from wingfall.gateway.model.call import Call
-    from wingfall.gateway.rules.placement import Candidate
+    from wingfall.gateway.rules.candidate import Candidate
 
 
 def log_attempt(
--- /dev/null
+++ b/wingfall/gateway/calls/attempt_outcome.py
@@ -0,0 +1,67 @@
+"""What bounds an attempt, and what became of it."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, final
+
+if TYPE_CHECKING:
+    from wingfall.gateway.model.attempt_end import AttemptEnd
+    from wingfall.gateway.model.call import Headers
+
+
+@final
+class WholeAnswer:
+    """An answer read to its end."""
+
+    __slots__ = ('body', 'headers', 'status')
+
+    def __init__(self, *, status: int, headers: Headers, body: bytes) -> None:
+        """Keep an answer.
+
+        :param status: its status.
+        :param headers: the headers that the caller shall see.
+        :param body: its body.
+        """
+        self.status = status
+        self.headers = headers
+        self.body = body
+
+
+@final
+class AttemptOutcome:
+    """How an attempt ended, and the whole answer if there is one."""
+
+    __slots__ = ('answer', 'end', 'reason')
+
+    def __init__(
+        self,
+        *,
+        end: AttemptEnd,
+        answer: WholeAnswer | None = None,
+        reason: str = '',
+    ) -> None:
+        """Describe the end.
+
+        :param end: how it ended.
+        :param answer: an answer that isn't passed on yet.
+        :param reason: what was seen, for logs.
+        """
+        self.end = end
+        self.answer = answer
+        self.reason = reason
+
+
+@final
+class AttemptLimits:
+    """Until when an attempt may take."""
+
+    __slots__ = ('deadline_ms', 'first_byte_ms')
+
+    def __init__(self, *, deadline_ms: int, first_byte_ms: int) -> None:
+        """Set the limits, both readings of the clock.
+
+        :param deadline_ms: when the call ends.
+        :param first_byte_ms: when the answer must have begun.
+        """
+        self.deadline_ms = deadline_ms
+        self.first_byte_ms = first_byte_ms
--- a/wingfall/gateway/calls/attempt_tracker.py
+++ b/wingfall/gateway/calls/attempt_tracker.py
@@ -14,7 +14,7 @@
 from wingfall.gateway.rules.prefix_caches import SentPrompt
 
 if TYPE_CHECKING:
-    from wingfall.gateway.calls.attempt import AttemptOutcome
+    from wingfall.gateway.calls.attempt_outcome import AttemptOutcome
     from wingfall.gateway.calls.destination import Destination
     from wingfall.gateway.calls.reply import Reply
     from wingfall.gateway.model.call import Call
--- a/wingfall/gateway/calls/destination.py
+++ b/wingfall/gateway/calls/destination.py
@@ -11,7 +11,7 @@
 
 from wingfall.gateway.endpoints.load import EndpointLoad
 from wingfall.gateway.rules.cache_transfer import copied_tokens
-from wingfall.gateway.rules.placement import Candidate, Demand
+from wingfall.gateway.rules.candidate import Candidate, Demand
 from wingfall.gateway.rules.shortlist import is_long, prefer_sound, shorten
 from wingfall.gateway.rules.stream_backup import choose_backup
 
--- a/wingfall/gateway/calls/dispatcher.py
+++ b/wingfall/gateway/calls/dispatcher.py
@@ -12,8 +12,8 @@
 from returns.result import Success
 
 from wingfall.errors import RunState
-from wingfall.gateway.calls.attempt import (
-    Attempt,
+from wingfall.gateway.calls.attempt import Attempt
+from wingfall.gateway.calls.attempt_outcome import (
     AttemptLimits,
     AttemptOutcome,
     WholeAnswer,
--- a/wingfall/gateway/calls/final_answer.py
+++ b/wingfall/gateway/calls/final_answer.py
@@ -15,7 +15,7 @@
     from wingfall.gateway.model.call import Call, CallHead
     from wingfall.gateway.state import GatewayState
 
-JSON: Final = (b'Content-Type', b'application/json')
+_JSON: Final = (b'Content-Type', b'application/json')
 
 
 def send_refusal(
@@ -33,7 +33,7 @@
     :param refusal: why there is no endpoint's answer.
     :param call: the call, None if it wasn't accepted.
     """
-    headers = [JSON, *state.binding.refusal_headers(head)]
+    headers = [_JSON, *state.binding.refusal_headers(head)]
     if refusal.retry_after_ms is not None:
         seconds = refusal.retry_after_ms / MS_PER_S
         headers.append((b'Retry-After', b'%.3f' % seconds))
@@ -64,6 +64,16 @@
     )
 
 
+def send_not_a_request(reply: Reply, status: int) -> None:
+    """Answer bytes that are no request of HTTP.
+
+    :param reply: writes the answer.
+    :param status: the HTTP status.
+    """
+    body = {'error': {'message': 'Not a request.'}}
+    reply.send_whole(status, [_JSON], orjson.dumps(body))
+
+
 def note_answer(state: GatewayState, call: Call, reply: Reply) -> None:
     """Log and count a call that ended without a refusal.
 
--- a/wingfall/gateway/calls/stream_continuation.py
+++ b/wingfall/gateway/calls/stream_continuation.py
@@ -14,7 +14,7 @@
 from wingfall.gateway.model.attempt_end import AttemptEnd
 
 if TYPE_CHECKING:
-    from wingfall.gateway.calls.attempt import AttemptOutcome
+    from wingfall.gateway.calls.attempt_outcome import AttemptOutcome
     from wingfall.gateway.calls.reply import Reply
     from wingfall.gateway.model.call import Call
     from wingfall.gateway.model.pool_endpoint import PoolEndpoint
--- a/wingfall/gateway/peers/gateway_peers.py
+++ b/wingfall/gateway/peers/gateway_peers.py
@@ -18,6 +18,7 @@
 )
 from wingfall.gateway.peers.heartbeats import Heartbeats
 from wingfall.gateway.peers.object_exchange import ObjectExchange
+from wingfall.gateway.peers.peer_addresses import PeerAddresses
 from wingfall.gateway.peers.peer_session import PeerSession
 from wingfall.gateway.peers.ranking import rank
 from wingfall.gateway.peers.watch_duty import WATCHERS, WatchDuty
@@ -36,17 +37,10 @@
 
 # Seconds for a connect. Not measured: a slow link may need several tries.
 _CONNECT_S: Final = 1
-# Milliseconds between two rounds of dials, and dials of a round. Not measured:
-# 300 gateways are connected within some ten seconds of a start.
+# Milliseconds between two rounds of dials. Not measured.
 _DIAL_MS: Final = 300
-_DIALS: Final = 8
-# Dials in a row that fail before an address is forgotten, some ten seconds. Not
-# measured: a gateway that restarts is back long before.
-_MISSED_DIALS: Final = 30
 # Bits of the number drawn at a start: two starts never draw the same.
 _INCARNATION_BITS: Final = 48
-# Each hello names so many gateways; all are known after some of them.
-_MOST_KNOWN: Final = 24
 
 
 @final
@@ -56,11 +50,9 @@
     __slots__ = (
         '_address',
         '_addresses',
-        '_dialing',
         '_heartbeats',
         '_incarnation',
         '_name',
-        '_seeds',
         '_server',
         '_sessions',
         '_state',
@@ -95,7 +87,6 @@
         self._name = name
         self._incarnation = random.getrandbits(_INCARNATION_BITS)
         self._state = state
-        self._seeds = set(seeds)
         self._transfer = transfer
         self._supervisor = supervisor
         self._sessions: dict[str, PeerSession] = {}
@@ -115,14 +106,11 @@
             watches=watches,
             is_stopping=lambda: state.draining,
         )
-        # Known addresses and the dials in a row that failed.
-        self._addresses: dict[str, int] = {}
-        # Where a connection is being opened, or one that was is still used.
-        self._dialing: set[str] = set()
         host, _colon, port = address.rpartition(':')
         self._server = StreamServer((host, int(port)), self._accept)
         self._server.init_socket()
         self._address = f'{host}:{self._server.socket.getsockname()[1]}'
+        self._addresses = PeerAddresses(own=self._address, seeds=seeds)
 
     @property
     def address(self) -> str:
@@ -153,7 +141,7 @@
 
     def start(self) -> None:
         """Accept and connect from now on."""
-        self.learn(self._seeds)
+        self._share_budget()
         self._server.start()
         self._supervisor.start('heartbeats', self._send_heartbeats)
         self._supervisor.start('dials', self._dial_forever)
@@ -163,9 +151,7 @@
 
         :param addresses: where they may be found.
         """
-        for address in addresses:
-            if address != self._address:
-                self._addresses.setdefault(address, 0)
+        self._addresses.add(addresses)
         self._share_budget()
 
     def leave(self) -> None:
@@ -193,38 +179,28 @@
     def _dial_forever(self) -> None:
         while not self._supervisor.stopped:
             connected = {each.address for each in self._sessions.values()}
-            # Over a slow link a dial takes longer than the time between two.
-            known = self._addresses.keys()
-            missing = sorted(known - connected - self._dialing)
-            # A few at a time, drawn, so that two rarely dial each other.
-            for address in random.sample(missing, min(_DIALS, len(missing))):
+            for address in self._addresses.choose_dials(connected):
                 gevent.spawn(self._dial, address)
             gevent.sleep(_DIAL_MS / MS_PER_S)
 
     def _dial(self, address: str) -> None:
-        self._dialing.add(address)
+        self._addresses.begin_dial(address)
         try:
             self._connect(address)
         finally:
-            self._dialing.discard(address)
+            self._addresses.end_dial(address)
 
     def _connect(self, address: str) -> None:
         host, _colon, port = address.rpartition(':')
         try:
             sock = socket.create_connection((host, int(port)), _CONNECT_S)
         except OSError:
-            self._note_missed(address)
+            if self._addresses.note_missed(address):
+                self._share_budget()
             return
-        self._addresses[address] = 0
+        self._addresses.note_reached(address)
         self._run(sock, dialed=True)
 
-    def _note_missed(self, address: str) -> None:
-        missed = self._addresses.get(address, 0) + 1
-        self._addresses[address] = missed
-        if missed > _MISSED_DIALS and address not in self._seeds:
-            self._addresses.pop(address)
-            self._share_budget()
-
     def _accept(self, sock: socket.socket, peer: tuple[str, int]) -> None:
         self._run(sock, dialed=False)
 
@@ -280,7 +256,7 @@
             return
         self._sessions.pop(session.name)
         self._heartbeats.forget(session)
-        self._transfer.note_sessions(len(self._sessions), len(self._addresses))
+        self._transfer.note_sessions(len(self._sessions), self._addresses.count)
         self._share_budget()
         log_event(
             'peers',
@@ -292,7 +268,7 @@
     def _share_budget(self) -> None:
         # Those that can't be reached may still send, with the same slack.
         self._state.metrics.links.set({}, len(self._sessions))
-        known = max(len(self._sessions), len(self._addresses))
+        known = max(len(self._sessions), self._addresses.count)
         self._state.budget.share_among(known + 1)
 
     def _send_heartbeats(self) -> None:
@@ -301,11 +277,10 @@
             gevent.sleep(TICK_MS / MS_PER_S)
 
     def _hello(self) -> GatewayHello:
-        known = list(self._addresses)
         return GatewayHello(
             name=self._name,
             address=self._address,
-            known=random.sample(known, min(_MOST_KNOWN, len(known))),
+            known=self._addresses.name_some(),
             zone=self._state.zone,
             incarnation=self._incarnation,
         )
--- a/wingfall/gateway/peers/load_entries.py
+++ b/wingfall/gateway/peers/load_entries.py
@@ -6,11 +6,13 @@
 from typing import TYPE_CHECKING, Any, Final, TypeAlias, final
 
 from wingfall.gateway.endpoints.load import EndpointLoad
+from wingfall.gateway.peers.parts_transfer import read_parts
+from wingfall.gateway.rules.endpoint_health import Outcomes
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from wingfall.gateway.rules.endpoint_health import Outcomes
+    from wingfall.gateway.endpoints.endpoint_knowledge import EndpointKnowledge
     from wingfall.gateway.rules.prefix_caches import SentPrompt
 
 Work: TypeAlias = tuple[int, ...]
@@ -106,6 +108,22 @@
     return [_read_load(*entry) for entry in raw]
 
 
+def hear_news(news: News, knowledge: EndpointKnowledge) -> None:
+    """Note what has happened at other gateways.
+
+    :param news: the news, as on the wire.
+    :param knowledge: where it is noted.
+    """
+    for name, failed, served in news.outcomes:
+        outcomes = Outcomes(failed=failed, served=served)
+        knowledge.health.hear(name, outcomes)
+    for endpoint, unread, *parts in news.sent:
+        knowledge.note_prompt_sent(endpoint, unread)
+        # The peer sees the first event, but doesn't tell: an estimate.
+        ready_ms = knowledge.ready_ms(endpoint) if unread else 0
+        knowledge.caches.find(endpoint).note(read_parts(parts), ready_ms)
+
+
 def _read_load(
     name: str,
     running: int,
--- a/wingfall/gateway/peers/load_exchange.py
+++ b/wingfall/gateway/peers/load_exchange.py
@@ -19,15 +19,14 @@
     IDLE,
     News,
     Work,
+    hear_news,
     read_loads,
     write_loads,
     write_outcomes,
     write_sent,
     write_work,
 )
-from wingfall.gateway.peers.parts_transfer import read_parts
 from wingfall.gateway.peers.relay_choice import find_relay, relay_rank
-from wingfall.gateway.rules.endpoint_health import Outcomes
 from wingfall.log import log_event
 from wingfall.wire.gateway_messages import ZoneLoads
 
@@ -152,7 +151,7 @@
         :param whole: whether it has no work at other endpoints.
         """
         self._knowledge.load.hear(session.name, read_loads(loads), whole=whole)
-        self._hear_news(news)
+        hear_news(news, self._knowledge)
         if session.zone == self._zone:
             self._news.add(news)
 
@@ -177,7 +176,10 @@
             read_loads(told.loads),
             whole=told.whole,
         )
-        self._hear_news(News(sent=told.sent, outcomes=told.outcomes))
+        hear_news(
+            News(sent=told.sent, outcomes=told.outcomes),
+            self._knowledge,
+        )
         if session.zone == told.zone:
             for near in self.near(sessions):
                 near.connection.send(told)
@@ -261,18 +263,6 @@
             outcomes=news.outcomes,
         )
 
-    def _hear_news(self, news: News) -> None:
-        for name, failed, served in news.outcomes:
-            outcomes = Outcomes(failed=failed, served=served)
-            self._knowledge.health.hear(name, outcomes)
-        for endpoint, unread, *parts in news.sent:
-            self._knowledge.note_prompt_sent(endpoint, unread)
-            # The peer sees the first event, but doesn't tell: an estimate.
-            ready_ms = self._knowledge.ready_ms(endpoint) if unread else 0
-            self._knowledge.caches.find(endpoint).note(
-                read_parts(parts), ready_ms
-            )
-
     def _forget_silent_zones(self, now_ms: int) -> None:
         for zone, heard_ms in list(self._zones_heard_ms.items()):
             if now_ms - heard_ms > _ZONE_SILENCE_MS:
--- a/wingfall/gateway/peers/object_exchange.py
+++ b/wingfall/gateway/peers/object_exchange.py
@@ -5,9 +5,8 @@
 from typing import TYPE_CHECKING, Final, final
 
 from wingfall.gateway.model.object_store import StoreReading
+from wingfall.gateway.peers.object_fetch import ObjectFetch
 from wingfall.gateway.peers.object_transfer import (
-    CHUNK_BYTES,
-    IncomingTransfer,
     OutgoingTransfer,
     pack_objects,
     read_object,
@@ -38,45 +37,6 @@
 _MAX_ANSWER_MS: Final = 4800
 
 
-@final
-class _Fetch:
-    """A fetch that is under way."""
-
-    __slots__ = (
-        'asked_ms',
-        'revision',
-        'session',
-        'transfer',
-        'until_ms',
-        'wait_ms',
-    )
-
-    def __init__(
-        self,
-        *,
-        session: PeerSession,
-        revision: int,
-        asked_ms: int,
-        wait_ms: int,
-    ) -> None:
-        self.session = session
-        self.revision = revision
-        self.asked_ms = asked_ms
-        self.wait_ms = wait_ms
-        self.until_ms = asked_ms + wait_ms
-        self.transfer = IncomingTransfer()
-
-    def ask(self, kind: str) -> None:
-        """Ask the peer for the next chunk."""
-        fetch = ObjectsFetch(
-            kind=kind,
-            revision=self.revision,
-            offset=self.transfer.offset,
-            most=CHUNK_BYTES,
-        )
-        self.session.connection.send(fetch)
-
-
 @final
 class ObjectExchange:
     """Compares revisions with peers, asks for what is newer, and answers.
@@ -111,7 +71,7 @@
         self._replicas = {replica.kind: replica for replica in replicas}
         self._clock = clock
         self._zone = zone
-        self._fetches: dict[str, _Fetch] = {}
+        self._fetches: dict[str, ObjectFetch] = {}
         self._backoffs = {
             kind: Backoff(min_ms=_ANSWER_MS, max_ms=_MAX_ANSWER_MS)
             for kind in self._replicas
@@ -215,7 +175,7 @@
         fetch.ask(page.kind)
 
     def _ask(self, session: PeerSession, replica: ObjectReplica) -> None:
-        fetch = _Fetch(
+        fetch = ObjectFetch(
             session=session,
             revision=replica.revision,
             asked_ms=self._clock.now_ms(),
--- a/wingfall/gateway/rules/stream_backup.py
+++ b/wingfall/gateway/rules/stream_backup.py
@@ -16,7 +16,8 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from wingfall.gateway.rules.placement import Candidate, Demand, Placement
+    from wingfall.gateway.rules.candidate import Candidate, Demand
+    from wingfall.gateway.rules.placement import Placement
 
 # A copy costs the bytes of prompt and answer; what it saves grows with the
 # time that the stream runs, so with its answer. Answers half as long as their
