--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -138,8 +138,7 @@
     def reload(self, settings: SimpleNamespace) -> None:
         """Take changed settings, as far as they can change while running.
 
-        Seeds, the budget of second sendings and the time of a planned stop
-        take effect; addresses and policies stay till the next start.
+        Seeds, the retry budget and the time of a planned stop take effect; addresses and policies stay till the next start.
 
         :param settings: the checked settings.
         """
