--- a/standins/engine.py
+++ b/standins/engine.py
@@ -30,7 +30,8 @@
 
 from standins.serving import answer_json, serve
 from wingfall.decision.affinity import hash_prefixes, prompt_text
-from wingfall.http_server import SOCKET_KEY, peer_closed
+from wingfall.http_server import SOCKET_KEY
+from wingfall.tcp import peer_closed
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
--- a/standins/link.py
+++ b/standins/link.py
@@ -12,7 +12,7 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-from wingfall.wire.connection import set_no_delay
+from wingfall.tcp import set_no_delay
 
 _READ_BYTES: Final = 65_536
 _RESET_ON_CLOSE: Final = struct.pack('ii', 1, 0)
--- a/tests/faults/frame_relay.py
+++ b/tests/faults/frame_relay.py
@@ -10,8 +10,8 @@
 
 from tools.fleet import HOST
 from wingfall.errors import WireError
+from wingfall.tcp import set_no_delay
 from wingfall.wire.codec import MAX_MESSAGE_BYTES, FrameDecoder, encode
-from wingfall.wire.connection import set_no_delay
 
 if TYPE_CHECKING:
     from wingfall.wire.message import Message
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -8,7 +8,7 @@
 import gevent
 from gevent.server import StreamServer
 
-from wingfall.wire.connection import set_no_delay
+from wingfall.tcp import set_no_delay
 
 _READ_BYTES = 65_536
 
--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -29,7 +29,7 @@
 from wingfall.log import log_event
 from wingfall.program import Program
 from wingfall.settings.loader import parse_address
-from wingfall.wire.connection import tcp_listener
+from wingfall.tcp import tcp_listener
 
 if TYPE_CHECKING:
     import socket
@@ -138,7 +138,8 @@
     def reload(self, settings: SimpleNamespace) -> None:
         """Take changed settings, as far as they can change while running.
 
-        Seeds, the retry budget and the time of a planned stop take effect; addresses and policies stay till the next start.
+        Seeds, the retry budget and the time of a planned stop take effect;
+        addresses and policies stay till the next start.
 
         :param settings: the checked settings.
         """
--- a/wingfall/gateway/callers/caller_connection.py
+++ b/wingfall/gateway/callers/caller_connection.py
@@ -23,9 +23,8 @@
 from wingfall.gateway.calls.reply import Reply
 from wingfall.gateway.model.routes import CallerLimits
 from wingfall.gateway.rules.refusals import refuse_fault, refuse_request
-from wingfall.http_server import is_readable
 from wingfall.log import log_event
-from wingfall.wire.connection import send_all, set_no_delay
+from wingfall.tcp import is_readable, send_all, set_no_delay
 
 if TYPE_CHECKING:
     from gevent import Greenlet
--- a/wingfall/gateway/endpoints/endpoint_connection.py
+++ b/wingfall/gateway/endpoints/endpoint_connection.py
@@ -10,7 +10,7 @@
 import h11
 
 from wingfall.clock import MS_PER_S
-from wingfall.http_server import is_readable
+from wingfall.tcp import is_readable, silence_options
 
 if TYPE_CHECKING:
     from gevent import Greenlet
@@ -38,16 +38,9 @@
 # Part of that time that is used: the endpoint closes by its own clock. Not
 # measured.
 _KEEP_PART: Final = 0.5
-# A silent VM is noticed within two seconds: data that isn't confirmed, or
-# probes that aren't answered.
-_SOCKET_OPTIONS: Final = (
-    (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
-    (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 1500),
-)
+# Probes in a row without an answer that end a connection. Not measured: one may
+# be lost.
+_UNANSWERED_PROBES: Final = 2
 
 
 class NotConnectedError(Exception):
@@ -81,7 +74,7 @@
         :param sock: the socket.
         :param clock: the time.
         """
-        for option in _SOCKET_OPTIONS:
+        for option in silence_options(_UNANSWERED_PROBES):
             sock.setsockopt(*option)
         self._socket = sock
         self._clock = clock
--- a/wingfall/http_server.py
+++ b/wingfall/http_server.py
@@ -8,7 +8,7 @@
 from gevent.pywsgi import WSGIHandler, WSGIServer
 
 from wingfall.log import part_logger
-from wingfall.wire.connection import set_no_delay
+from wingfall.tcp import set_no_delay
 
 if TYPE_CHECKING:
     from types import SimpleNamespace
@@ -117,36 +117,3 @@
     def stop(self) -> None:
         """End all connections."""
         self._server.stop(timeout=0)
-
-
-def is_readable(sock: socket.socket) -> bool:
-    """Tell whether bytes or an end wait to be read, without taking them.
-
-    :param sock: a connected socket.
-    :returns: whether a read would not block.
-    """
-    flags = socket.MSG_PEEK | socket.MSG_DONTWAIT
-    plain = getattr(sock, '_sock', sock)
-    try:
-        plain.recv(1, flags)
-    except BlockingIOError:
-        return False
-    except OSError:
-        return True
-    return True
-
-
-def peer_closed(sock: socket.socket) -> bool:
-    """Tell whether the other side has closed, without taking bytes.
-
-    :param sock: the caller's socket.
-    :returns: whether nothing more can come from it.
-    """
-    flags = socket.MSG_PEEK | socket.MSG_DONTWAIT
-    plain = getattr(sock, '_sock', sock)
-    try:
-        return plain.recv(1, flags) == b''
-    except BlockingIOError:
-        return False
-    except OSError:
-        return True
--- a/wingfall/platform/store.py
+++ b/wingfall/platform/store.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import http
-import socket
 from typing import TYPE_CHECKING, Any, Final, final
 
 import orjson
@@ -13,6 +12,7 @@
 from wingfall.clock import MS_PER_S
 from wingfall.errors import PlatformError
 from wingfall.gateway.model.object_store import StoredObject, StoreReading
+from wingfall.tcp import silence_options
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
@@ -28,15 +28,9 @@
 _MAX_MESSAGE: Final = 200
 # A long answer counts as heard each time that so many bytes have come.
 _PIECE_BYTES: Final = 65_536
-# A connection whose other side has gone silent ends within two seconds.
-_SOCKET_OPTIONS: Final = (
-    (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
-    (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 1),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 1500),
-)
+# Probes in a row without an answer that end a connection. Not measured: a store
+# that is lost is noticed as soon as possible.
+_UNANSWERED_PROBES: Final = 1
 
 
 @final
@@ -76,7 +70,7 @@
         self._metrics = metrics
         self._pool = urllib3.PoolManager(
             retries=False,
-            socket_options=list(_SOCKET_OPTIONS),
+            socket_options=silence_options(_UNANSWERED_PROBES),
         )
 
     def list_all(
--- a/wingfall/router/api.py
+++ b/wingfall/router/api.py
@@ -11,9 +11,10 @@
 
 from wingfall.decision.overload import admits
 from wingfall.errors import Refusal, RunState
-from wingfall.http_server import SOCKET_KEY, peer_closed
+from wingfall.http_server import SOCKET_KEY
 from wingfall.log import part_logger
 from wingfall.router.reply import Reply, render_refusal
+from wingfall.tcp import peer_closed
 
 if TYPE_CHECKING:
     from types import SimpleNamespace
--- /dev/null
+++ b/wingfall/tcp.py
@@ -0,0 +1,103 @@
+"""What wingfall's TCP sockets need beyond the standard library."""
+
+from __future__ import annotations
+
+import socket
+from typing import Final
+
+# Bytes that are sent within one timeout of a socket.
+_PIECE_BYTES: Final = 65_536
+# Milliseconds for which what was sent may stay unconfirmed, and seconds between
+# probes of an idle connection: a VM that has gone silent is noticed within two
+# seconds, before most callers give up. Not measured by themselves.
+_UNCONFIRMED_MS: Final = 1500
+_PROBE_S: Final = 1
+
+
+def silence_options(unanswered: int) -> list[tuple[int, int, int]]:
+    """Give the options of a socket that notices a silent VM.
+
+    :param unanswered: probes in a row without an answer that end it.
+    :returns: level, name and figure of each option, Nagle's algorithm off.
+    """
+    return [
+        (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
+        (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _PROBE_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _PROBE_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, unanswered),
+        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNCONFIRMED_MS),
+    ]
+
+
+def set_no_delay(sock: socket.socket) -> None:
+    """Turn Nagle's algorithm off.
+
+    Left on, a small answer waits some 40 ms for a delayed acknowledgement.
+
+    :param sock: a TCP socket.
+    """
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+
+
+def send_all(sock: socket.socket, encoded: bytes) -> None:
+    """Send bytes as long as they move.
+
+    The socket's timeout bounds each piece of 64 KB. A bound of the whole would
+    cut what a slow link still carries, and what was sent would be lost.
+
+    :param sock: a socket with a timeout.
+    :param encoded: the bytes.
+    :raises OSError: if a piece does not leave in time, or the peer is gone.
+    """
+    view = memoryview(encoded)
+    for start in range(0, len(view), _PIECE_BYTES):
+        sock.sendall(view[start : start + _PIECE_BYTES])
+
+
+def tcp_listener(address: str, backlog: int) -> socket.socket:
+    """Listen on an address.
+
+    :param address: ``host:port``, port 0 for a free one.
+    :param backlog: connections that may wait.
+    :returns: the listening socket.
+    """
+    host, _colon, port = address.rpartition(':')
+    return socket.create_server(
+        (host.strip('[]'), int(port)),
+        backlog=backlog,
+        family=socket.AF_INET6 if ':' in host else socket.AF_INET,
+    )
+
+
+def is_readable(sock: socket.socket) -> bool:
+    """Tell whether bytes or an end wait to be read, without taking them.
+
+    :param sock: a connected socket.
+    :returns: whether a read would not block.
+    """
+    flags = socket.MSG_PEEK | socket.MSG_DONTWAIT
+    plain = getattr(sock, '_sock', sock)
+    try:
+        plain.recv(1, flags)
+    except BlockingIOError:
+        return False
+    except OSError:
+        return True
+    return True
+
+
+def peer_closed(sock: socket.socket) -> bool:
+    """Tell whether the other side has closed, without taking bytes.
+
+    :param sock: the caller's socket.
+    :returns: whether nothing more can come from it.
+    """
+    flags = socket.MSG_PEEK | socket.MSG_DONTWAIT
+    plain = getattr(sock, '_sock', sock)
+    try:
+        return plain.recv(1, flags) == b''
+    except BlockingIOError:
+        return False
+    except OSError:
+        return True
--- a/wingfall/wire/connection.py
+++ b/wingfall/wire/connection.py
@@ -10,6 +10,7 @@
 
 from wingfall.clock import MS_PER_S
 from wingfall.errors import WireError
+from wingfall.tcp import send_all, set_no_delay
 from wingfall.wire.codec import MAX_MESSAGE_BYTES, FrameDecoder, encode
 
 if TYPE_CHECKING:
@@ -18,50 +19,9 @@
     from wingfall.wire.message import Message
 
 _READ_BYTES = 65_536
-_WRITE_BYTES = 65_536
 _MAX_QUEUED_BYTES = 67_108_864
 
 
-def set_no_delay(sock: socket.socket) -> None:
-    """Turn Nagle's algorithm off.
-
-    Left on, a small answer waits some 40 ms for a delayed acknowledgement.
-
-    :param sock: a TCP socket.
-    """
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-
-
-def send_all(sock: socket.socket, encoded: bytes) -> None:
-    """Send bytes as long as they move.
-
-    The socket's timeout bounds each piece of 64 KB. A bound of the whole would
-    cut what a slow link still carries, and what was sent would be lost.
-
-    :param sock: a socket with a timeout.
-    :param encoded: the bytes.
-    :raises OSError: if a piece does not leave in time, or the peer is gone.
-    """
-    view = memoryview(encoded)
-    for start in range(0, len(view), _WRITE_BYTES):
-        sock.sendall(view[start : start + _WRITE_BYTES])
-
-
-def tcp_listener(address: str, backlog: int) -> socket.socket:
-    """Listen on an address.
-
-    :param address: ``host:port``, port 0 for a free one.
-    :param backlog: connections that may wait.
-    :returns: the listening socket.
-    """
-    host, _colon, port = address.rpartition(':')
-    return socket.create_server(
-        (host.strip('[]'), int(port)),
-        backlog=backlog,
-        family=socket.AF_INET6 if ':' in host else socket.AF_INET,
-    )
-
-
 @final
 class Connection:
     """Sends and receives messages; sending never blocks the sender.
