--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -12,7 +12,8 @@
 from wingfall.config.copy import ConfigCopy
 from wingfall.config.follower import ConfigFollower
 from wingfall.metrics import Metrics
-from wingfall.object_api.client import HttpObjectApi, ObjectList, WatchEvent
+from wingfall.object_api.client import HttpObjectApi
+from wingfall.object_api.readings import ObjectList, WatchEvent
 from wingfall.objects.customer import hash_key
 
 
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -7,7 +7,7 @@
 import pytest
 
 from wingfall.config.copy import ConfigCopy
-from wingfall.object_api.client import ObjectList, WatchEvent
+from wingfall.object_api.readings import ObjectList, WatchEvent
 from wingfall.objects.customer import Customer
 from wingfall.router.directory import Directory
 from wingfall.router.request import Request
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -12,7 +12,7 @@
 from wingfall.config.copy import ConfigCopy
 from wingfall.config.fetcher import ConfigFetcher, answer_fetch
 from wingfall.config.history import History
-from wingfall.object_api.client import ObjectList, WatchEvent
+from wingfall.object_api.readings import ObjectList, WatchEvent
 
 if TYPE_CHECKING:
     from tests.local_site import LocalSite
--- a/tools/slopes/__main__.py
+++ b/tools/slopes/__main__.py
@@ -47,7 +47,7 @@
 from wingfall.decision.customer_limits import CustomerLimits
 from wingfall.decision.keys import KeyTable
 from wingfall.decision.order import orders
-from wingfall.object_api.client import ObjectList, WatchEvent
+from wingfall.object_api.readings import ObjectList, WatchEvent
 from wingfall.objects.customer import Customer
 from wingfall.router.directory import Directory
 from wingfall.router.link import AgentLink
--- a/wingfall/config/copy.py
+++ b/wingfall/config/copy.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-    from wingfall.object_api.client import ObjectList, WatchEvent
+    from wingfall.object_api.readings import ObjectList, WatchEvent
 
 _Key: TypeAlias = tuple[str, str]
 
--- a/wingfall/config/fetcher.py
+++ b/wingfall/config/fetcher.py
@@ -11,7 +11,7 @@
 from returns.result import Success
 
 from wingfall.log import part_logger
-from wingfall.object_api.client import ObjectList, WatchEvent, read_event
+from wingfall.object_api.readings import ObjectList, WatchEvent, read_event
 from wingfall.wire.peer_messages import ConfigFetch, ConfigPage
 
 if TYPE_CHECKING:
--- a/wingfall/config/follower.py
+++ b/wingfall/config/follower.py
@@ -16,7 +16,7 @@
     from gevent.event import Event
 
     from wingfall.config.copy import ConfigCopy
-    from wingfall.object_api.client import ObjectApi
+    from wingfall.object_api.readings import ObjectApi
 
 _IDLE_MS = 500
 
--- a/wingfall/config/history.py
+++ b/wingfall/config/history.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-    from wingfall.object_api.client import WatchEvent
+    from wingfall.object_api.readings import WatchEvent
 
 _Key: TypeAlias = tuple[str, str]
 
--- a/wingfall/object_api/client.py
+++ b/wingfall/object_api/client.py
@@ -2,8 +2,7 @@
 
 from __future__ import annotations
 
-import http
-from typing import TYPE_CHECKING, Any, Final, Protocol, final
+from typing import TYPE_CHECKING, Any, Final, final
 
 import orjson
 import urllib3
@@ -11,6 +10,14 @@
 
 from wingfall.clock import MS_PER_S
 from wingfall.errors import PlatformError
+from wingfall.object_api.readings import (
+    ObjectList,
+    Vm,
+    WatchEvent,
+    read_event,
+    read_list,
+    read_vms,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -25,87 +32,6 @@
 _MAX_MESSAGE: Final = 200
 
 
-@final
-class ObjectList:
-    """All objects at one version."""
-
-    __slots__ = ('objects', 'version')
-
-    def __init__(self, *, version: int, objects: list[dict[str, Any]]) -> None:
-        """Keep a list.
-
-        :param version: version of the whole list.
-        :param objects: the objects as JSON.
-        """
-        self.version = version
-        self.objects = objects
-
-
-@final
-class Vm:
-    """A VM as the platform lists it."""
-
-    __slots__ = ('leaving', 'name', 'peer', 'zone')
-
-    def __init__(
-        self,
-        *,
-        name: str,
-        zone: str,
-        leaving: bool,
-        peer: str = '',
-    ) -> None:
-        """Describe a VM.
-
-        :param name: its name.
-        :param zone: its availability zone.
-        :param leaving: whether it is about to go.
-        :param peer: ``host:port`` for peers if a router runs there.
-        """
-        self.name = name
-        self.zone = zone
-        self.leaving = leaving
-        self.peer = peer
-
-
-@final
-class WatchEvent:
-    """One accepted change, or a mark that nothing happened up to a version."""
-
-    __slots__ = ('deleted', 'raw', 'version')
-
-    def __init__(
-        self,
-        *,
-        version: int,
-        raw: dict[str, Any] | None,
-        deleted: bool = False,
-    ) -> None:
-        """Describe a change.
-
-        :param version: version after the change.
-        :param raw: the object as JSON, None for a mark.
-        :param deleted: whether the object is gone.
-        """
-        self.version = version
-        self.raw = raw
-        self.deleted = deleted
-
-
-class ObjectApi(Protocol):
-    """What wingfall needs of the platform; bind another platform here."""
-
-    def list_objects(self) -> Result[ObjectList, PlatformError]:
-        """Read all objects."""
-
-    def watch_objects(
-        self,
-        version: int,
-        timeout_ms: int,
-    ) -> Iterator[Result[WatchEvent, PlatformError]]:
-        """Wait for changes after a version."""
-
-
 @final
 class HttpObjectApi:
     """The object API over HTTP; calls are counted in the metrics."""
@@ -135,14 +61,14 @@
 
         :returns: the list, or why there is none.
         """
-        return self._call('GET', _OBJECTS).bind(_read_list)
+        return self._call('GET', _OBJECTS).bind(read_list)
 
     def list_vms(self) -> Result[list[Vm], PlatformError]:
         """Read the list of VMs, which lags.
 
         :returns: the VMs, or why there are none.
         """
-        return self._call('GET', _VMS).bind(_read_vms)
+        return self._call('GET', _VMS).bind(read_vms)
 
     def read(self, kind: str, name: str) -> Result[Any, PlatformError]:
         """Read one object.
@@ -259,65 +185,6 @@
         self._metrics.platform_calls.inc({'verb': verb, 'status': str(status)})
 
 
-def read_event(line: bytes) -> Result[WatchEvent, PlatformError]:
-    """Parse one line of a watch.
-
-    :param line: the event as JSON.
-    :returns: the change; or the error that the line tells or is.
-    """
-    try:
-        event = orjson.loads(line)
-        kind = event['type']
-        raw = event['object']
-        if kind == 'ERROR':
-            return Failure(
-                PlatformError(status=raw['code'], message=raw['message']),
-            )
-        version = int(raw['metadata']['resourceVersion'])
-    except (orjson.JSONDecodeError, KeyError, TypeError, ValueError):
-        return Failure(
-            PlatformError(status=http.HTTPStatus.OK, message='not an event')
-        )
-    return Success(
-        WatchEvent(
-            version=version,
-            raw=None if kind == 'BOOKMARK' else raw,
-            deleted=kind == 'DELETED',
-        ),
-    )
-
-
-def _read_vms(body: Any) -> Result[list[Vm], PlatformError]:
-    try:
-        return Success(
-            [
-                Vm(
-                    name=str(raw['name']),
-                    zone=str(raw.get('zone', '')),
-                    leaving=raw.get('state') == 'leaving',
-                    peer=str(raw.get('peer', '')),
-                )
-                for raw in body['items']
-            ]
-        )
-    except (KeyError, TypeError, AttributeError):
-        return Failure(
-            PlatformError(
-                status=http.HTTPStatus.OK, message='not a list of VMs'
-            )
-        )
-
-
-def _read_list(body: Any) -> Result[ObjectList, PlatformError]:
-    try:
-        version = int(body['metadata']['resourceVersion'])
-        return Success(ObjectList(version=version, objects=body['items']))
-    except (KeyError, TypeError, ValueError):
-        return Failure(
-            PlatformError(status=http.HTTPStatus.OK, message='not a list')
-        )
-
-
 def _read_events(
     response: urllib3.BaseHTTPResponse,
 ) -> Iterator[Result[WatchEvent, PlatformError]]:
--- a/wingfall/router/vms.py
+++ b/wingfall/router/vms.py
@@ -18,7 +18,8 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from wingfall.object_api.client import HttpObjectApi, Vm
+    from wingfall.object_api.client import HttpObjectApi
+    from wingfall.object_api.readings import Vm
     from wingfall.router.directory import Directory
     from wingfall.router.peers import Peers
     from wingfall.supervisor import Supervisor
