--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -59,7 +59,7 @@
     page = (ROOT / 'docs' / 'DECISIONS.md').read_text('utf-8')
     # Joined by other rules, or only hold what rules need.
     parts = {'__init__', 'candidate', 'decaying_sum', 'engine_speeds'}
-    parts |= {'policies', 'prefix_caches', 'recent_reads'}
+    parts |= {'policies', 'prefix_caches', 'long_reads'}
     rules = {
         path.stem
         for path in (ROOT / 'wingfall' / 'gateway' / 'rules').glob('*.py')
--- a/tests/test_recent_reads.py
+++ b/tests/test_long_reads.py
@@ -5,11 +5,11 @@
 import pytest
 
 from wingfall.clock import ManualClock
-from wingfall.gateway.rules.recent_reads import RecentReads
+from wingfall.gateway.rules.long_reads import LongReads
 
 
 def test_reads_fade(clock: ManualClock):
-    reads = RecentReads(clock=clock)
+    reads = LongReads(clock=clock)
     reads.note('busy', 3000)
     reads.note('busy', 1000)
     assert reads.tokens('busy') == pytest.approx(4000)
@@ -19,7 +19,7 @@
 
 
 def test_engines_that_left_are_forgotten(clock: ManualClock):
-    reads = RecentReads(clock=clock)
+    reads = LongReads(clock=clock)
     reads.note('gone', 3000)
     reads.keep_only({'other'})
     assert reads.tokens('gone') == pytest.approx(0)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -67,7 +67,7 @@
 
 def test_stream_of_short_pauses_avoids_long_reads():
     tight = prompt(tokens=300, shared=100, gap_ms=300)
-    reads = engine('reads', recent_reads=20_000)
+    reads = engine('reads', long_reads=20_000)
     assert chosen(tight, reads, engine('busy', running=12)) == 'busy'
 
 
--- a/wingfall/gateway/calls/attempt.py
+++ b/wingfall/gateway/calls/attempt.py
@@ -70,7 +70,7 @@
         :param call: the request.
         :param destination: where it goes, and what goes with it.
         :param reply: takes the events of a stream.
-        :param binding: the platform's words.
+        :param binding: translates the platform's headers.
         :param connections: connections to endpoints.
         :param now_ms: reads the clock.
         :param on_output: called whenever events of a stream have come.
--- a/wingfall/gateway/calls/attempt_log.py
+++ b/wingfall/gateway/calls/attempt_log.py
@@ -79,7 +79,7 @@
 def _show_behaviour(candidate: Candidate) -> dict[str, Any]:
     speed = candidate.speed
     return {
-        'recent': int(candidate.recent_reads),
+        'recent': int(candidate.long_reads),
         'streams': candidate.streams,
         'idle_gap_ms': int(speed.idle_gap_ms),
         'full_gap_ms': int(speed.full_gap_ms or 0),
--- a/wingfall/gateway/calls/destination.py
+++ b/wingfall/gateway/calls/destination.py
@@ -144,7 +144,7 @@
         all_cached_tokens=all_cached,
         streams=load.streams,
         speed=known.speed(endpoint.name),
-        recent_reads=known.long_reads.tokens(endpoint.name),
+        long_reads=known.long_reads.tokens(endpoint.name),
         unseen_tokens=random.uniform(0, _UNSEEN_TOKENS),  # noqa: S311
         failing=known.health.failing(endpoint.name),
     )
--- a/wingfall/gateway/calls/shared_read_wait.py
+++ b/wingfall/gateway/calls/shared_read_wait.py
@@ -22,7 +22,7 @@
 def await_shared_read(
     state: GatewayState, call: Call, destination: Destination
 ) -> bool:
-    """Wait until the chosen engine has read what another prompt brought.
+    """Wait until the chosen engine has read a part for another prompt.
 
     :param state: what the gateway knows.
     :param call: the request.
--- a/wingfall/gateway/endpoints/endpoint_connection.py
+++ b/wingfall/gateway/endpoints/endpoint_connection.py
@@ -84,7 +84,7 @@
         self._keep_ms = _DEFAULT_KEEP_MS
 
     @property
-    def fresh_enough(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether the endpoint has surely kept the connection."""
         idle_ms = self._clock.now_ms() - self._idle_since_ms
         return idle_ms < self._keep_ms * _KEEP_PART and not is_readable(
--- a/wingfall/gateway/endpoints/endpoint_knowledge.py
+++ b/wingfall/gateway/endpoints/endpoint_knowledge.py
@@ -8,9 +8,9 @@
 from wingfall.gateway.endpoints.load import LoadTable
 from wingfall.gateway.rules.endpoint_health import EndpointHealth
 from wingfall.gateway.rules.engine_speeds import EngineSpeeds
+from wingfall.gateway.rules.long_reads import LongReads
 from wingfall.gateway.rules.placement import SHORT_READ_TOKENS
 from wingfall.gateway.rules.prefix_caches import PrefixCaches
-from wingfall.gateway.rules.recent_reads import RecentReads
 
 if TYPE_CHECKING:
     from wingfall.clock import Clock
@@ -46,7 +46,7 @@
         # How fast they read and answer, by the streams of this gateway.
         self.speeds = EngineSpeeds()
         # Long prompts that they were sent lately, by all gateways.
-        self.long_reads = RecentReads(clock=clock)
+        self.long_reads = LongReads(clock=clock)
         # How often they fail, by the calls of all gateways.
         self.health = EndpointHealth(clock=clock)
 
--- a/wingfall/gateway/endpoints/kept_connections.py
+++ b/wingfall/gateway/endpoints/kept_connections.py
@@ -46,7 +46,7 @@
         idle = self._idle.get(endpoint.name, [])
         while kept and idle:
             connection = idle.pop()
-            if connection.fresh_enough:
+            if connection.is_reusable:
                 return connection
             connection.close()
         return connect(endpoint, self._clock, timeout_ms)
@@ -78,7 +78,7 @@
             self._close_old(idle)
 
     def _close_old(self, idle: list[EndpointConnection]) -> None:
-        old = [each for each in idle if not each.fresh_enough]
+        old = [each for each in idle if not each.is_reusable]
         for connection in old:
             idle.remove(connection)
             connection.close()
--- a/wingfall/gateway/model/binding.py
+++ b/wingfall/gateway/model/binding.py
@@ -89,7 +89,7 @@
 
 
 class Binding(Protocol):
-    """Translates between a platform's words and the product's."""
+    """Translates a platform's headers, paths and objects."""
 
     ready_path: str
 
--- a/wingfall/gateway/model/object_store.py
+++ b/wingfall/gateway/model/object_store.py
@@ -38,7 +38,7 @@
 
 @final
 class StoreReading:
-    """What one call to the store brought."""
+    """The answer of one call to the store."""
 
     __slots__ = ('objects', 'revision')
 
--- a/wingfall/gateway/peers/memory_survey.py
+++ b/wingfall/gateway/peers/memory_survey.py
@@ -198,5 +198,5 @@
     return int.from_bytes(_digest(engine.name)[:2]) % _BUCKETS
 
 
-def _digest(*words: object) -> bytes:
-    return hashlib.sha256(repr(words).encode()).digest()
+def _digest(*names: object) -> bytes:
+    return hashlib.sha256(repr(names).encode()).digest()
--- a/wingfall/gateway/rules/cache_transfer.py
+++ b/wingfall/gateway/rules/cache_transfer.py
@@ -51,7 +51,7 @@
     ]
     if speed < _LEAST_SPEEDUP:
         usable.clear()
-    return max(usable, key=_kept, default=None)
+    return max(usable, key=_cached, default=None)
 
 
 @cache_transfers.register('none')
@@ -66,18 +66,18 @@
     """
 
 
-def copied_tokens(candidate: Candidate, holder: Candidate | None) -> int:
+def copied_tokens(candidate: Candidate, source: Candidate | None) -> int:
     """Tell how much of a prompt an engine would copy.
 
     :param candidate: the engine.
-    :param holder: the engine that keeps the most, None if none is to be used.
+    :param source: the engine that is copied from, None if there is none.
     :returns: tokens, 0 if reading them is as good.
     """
-    if holder is None:
+    if source is None:
         return 0
-    tokens = holder.cached_tokens - candidate.cached_tokens
+    tokens = source.cached_tokens - candidate.cached_tokens
     return tokens if tokens >= _LEAST_TOKENS else 0
 
 
-def _kept(candidate: Candidate) -> tuple[int, int]:
+def _cached(candidate: Candidate) -> tuple[int, int]:
     return (candidate.cached_tokens, -candidate.running)
--- a/wingfall/gateway/rules/candidate.py
+++ b/wingfall/gateway/rules/candidate.py
@@ -20,7 +20,7 @@
         'memory_used',
         'name',
         'reading_tokens',
-        'recent_reads',
+        'long_reads',
         'remote',
         'running',
         'slots',
@@ -44,7 +44,7 @@
         all_cached_tokens: int = 0,
         streams: dict[int, int] | None = None,
         speed: EngineSpeed | None = None,
-        recent_reads: float = 0,
+        long_reads: float = 0,
         unseen_tokens: float = 0,
         failing: float = 0,
     ) -> None:
@@ -64,7 +64,7 @@
         :param streams: how many streams there bear which longest token gap
             in milliseconds.
         :param speed: what it has shown of its reading and its token gaps.
-        :param recent_reads: tokens of long reads that it was sent lately.
+        :param long_reads: tokens of long reads that it was sent lately.
         :param unseen_tokens: a guess at what other gateways sent it meanwhile.
         :param failing: share of its requests that fail, 0 to 1.
         """
@@ -80,7 +80,7 @@
         self.all_cached_tokens = all_cached_tokens
         self.streams = streams or {}
         self.speed = speed or EngineSpeed()
-        self.recent_reads = recent_reads
+        self.long_reads = long_reads
         self.unseen_tokens = unseen_tokens
         self.failing = failing
 
--- a/wingfall/gateway/rules/recent_reads.py
+++ b/wingfall/gateway/rules/long_reads.py
@@ -15,7 +15,7 @@
 
 
 @final
-class RecentReads:
+class LongReads:
     """Tokens of long reads that were sent to each engine, fading."""
 
     __slots__ = ('_clock', '_sums')
--- a/wingfall/gateway/rules/placement.py
+++ b/wingfall/gateway/rules/placement.py
@@ -87,7 +87,7 @@
     )
     if demand.gap_target_ms:
         # Reads are taken to go on coming as they did.
-        to_come = candidate.recent_reads
+        to_come = candidate.long_reads
         late += speed.held_up_share(to_come, demand.gap_target_ms)
     return late
 
--- a/wingfall/gateway/rules/retry.py
+++ b/wingfall/gateway/rules/retry.py
@@ -1,4 +1,4 @@
-"""Whether a call is sent again after an attempt that brought no answer."""
+"""Whether a call is sent again after an attempt without an answer."""
 
 from __future__ import annotations
 
--- a/wingfall/log_trace.py
+++ b/wingfall/log_trace.py
@@ -9,7 +9,9 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-_AROUND_S: Final = 5
+# Seconds around a call in which lines about its endpoints, the store and peers
+# are shown. Not measured: longer than a crashed endpoint's entry stays listed.
+_CONTEXT_S: Final = 5
 _HIDDEN: Final = frozenset(('time', 'level', 'message', 'process', 'call'))
 _CONFIG: Final = 'config: '
 
@@ -107,7 +109,7 @@
     if line.process not in {each.process for each in own}:
         return False
     first_s, last_s = own[0].time_s, own[-1].time_s
-    if not first_s - _AROUND_S <= line.time_s <= last_s + _AROUND_S:
+    if not first_s - _CONTEXT_S <= line.time_s <= last_s + _CONTEXT_S:
         return False
     endpoint = line.fields.get('endpoint')
     return endpoint is None or endpoint in {
