--- a/tests/gateway_site.py
+++ b/tests/gateway_site.py
@@ -16,7 +16,7 @@
 from standins.serving import start_server
 from tests.local_site import wait_until
 from wingfall.gateway.application import GatewayApplication
-from wingfall.gateway.endpoints.endpoint_table import EndpointTable
+from wingfall.gateway.knowledge.endpoint_table import EndpointTable
 from wingfall.gateway.model.prompt import PromptPart
 from wingfall.settings.gateway_schema import GATEWAY_SCHEMA
 from wingfall.settings.loader import parse_settings
--- a/tests/test_endpoint_health.py
+++ b/tests/test_endpoint_health.py
@@ -5,7 +5,7 @@
 import math
 
 from wingfall.clock import ManualClock
-from wingfall.gateway.rules.endpoint_health import EndpointHealth, Outcomes
+from wingfall.gateway.knowledge.endpoint_health import EndpointHealth, Outcomes
 
 
 def test_unreachable_endpoint_is_out_for_a_time_that_doubles(
--- a/tests/test_engine_speed.py
+++ b/tests/test_engine_speed.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from wingfall.gateway.rules.engine_speed import (
+from wingfall.gateway.knowledge.engine_speed import (
     EngineSpeed,
     LongestGap,
     ReadRate,
--- a/tests/test_engine_speeds.py
+++ b/tests/test_engine_speeds.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from wingfall.gateway.rules.engine_speeds import EngineSpeeds
+from wingfall.gateway.knowledge.engine_speeds import EngineSpeeds
 
 READ = 8000
 
--- a/tests/test_gateway_load.py
+++ b/tests/test_gateway_load.py
@@ -6,9 +6,10 @@
 
 from wingfall.clock import ManualClock
 from wingfall.gateway.configuration.replica import ObjectReplica
-from wingfall.gateway.endpoints.endpoint_table import EndpointTable
 from wingfall.gateway.endpoints.event_stream import EventSplitter
-from wingfall.gateway.endpoints.load import EndpointLoad, LoadTable
+from wingfall.gateway.knowledge.decaying_sum import DecayingSum
+from wingfall.gateway.knowledge.endpoint_table import EndpointTable
+from wingfall.gateway.knowledge.load import EndpointLoad, LoadTable
 from wingfall.gateway.model.object_store import StoredObject, StoreReading
 from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 from wingfall.gateway.peers.load_entries import (
@@ -16,7 +17,6 @@
     write_loads,
     write_work,
 )
-from wingfall.gateway.rules.decaying_sum import DecayingSum
 
 # Milliseconds for which an entry that went without notice is still used.
 MOST_LAPSE_MS = 600
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -37,6 +37,7 @@
 # Each package of the gateway may need those before it.
 GATEWAY_LAYERS = (
     'model',
+    'knowledge',
     'rules',
     'endpoints',
     'state',
--- a/tests/test_load_exchange.py
+++ b/tests/test_load_exchange.py
@@ -8,14 +8,14 @@
 import pytest
 
 from wingfall.clock import ManualClock
-from wingfall.gateway.endpoints.endpoint_table import EndpointTable
-from wingfall.gateway.endpoints.load import EndpointLoad, LoadTable
+from wingfall.gateway.knowledge.endpoint_health import EndpointHealth
+from wingfall.gateway.knowledge.endpoint_table import EndpointTable
+from wingfall.gateway.knowledge.load import EndpointLoad, LoadTable
+from wingfall.gateway.knowledge.prefix_caches import PrefixCaches, SentPrompt
 from wingfall.gateway.model.prompt import PromptPart
 from wingfall.gateway.peers.load_exchange import LoadExchange
 from wingfall.gateway.peers.peer_session import PeerSession
 from wingfall.gateway.peers.relay_choice import find_relay
-from wingfall.gateway.rules.endpoint_health import EndpointHealth
-from wingfall.gateway.rules.prefix_caches import PrefixCaches, SentPrompt
 from wingfall.wire.gateway_messages import GatewayHello, ZoneLoads
 
 TICK_MS = 100
--- a/tests/test_long_reads.py
+++ b/tests/test_long_reads.py
@@ -5,7 +5,7 @@
 import pytest
 
 from wingfall.clock import ManualClock
-from wingfall.gateway.rules.long_reads import LongReads
+from wingfall.gateway.knowledge.long_reads import LongReads
 
 
 def test_reads_fade(clock: ManualClock):
--- a/tests/test_memory_survey.py
+++ b/tests/test_memory_survey.py
@@ -9,8 +9,8 @@
 from tests.gateway_site import GatewaySite, caches_part
 from tests.local_site import wait_until
 from wingfall.gateway.application import GatewayApplication
+from wingfall.gateway.knowledge.prefix_caches import RECENT_PARTS, PrefixCaches
 from wingfall.gateway.model.prompt import PromptPart
-from wingfall.gateway.rules.prefix_caches import RECENT_PARTS, PrefixCaches
 from wingfall.platform.documents import read_memory
 
 
--- a/tests/test_parts_transfer.py
+++ b/tests/test_parts_transfer.py
@@ -10,10 +10,10 @@
 
 from tests.fake_connection import make_peer
 from wingfall.clock import ManualClock
+from wingfall.gateway.knowledge.prefix_caches import PrefixCaches
 from wingfall.gateway.model.prompt import PromptPart
 from wingfall.gateway.peers.memory_survey import choose_engines
 from wingfall.gateway.peers.parts_transfer import PartsTransfer
-from wingfall.gateway.rules.prefix_caches import PrefixCaches
 from wingfall.wire.gateway_messages import PartsFetch
 
 if TYPE_CHECKING:
--- a/tests/test_prefix_cache.py
+++ b/tests/test_prefix_cache.py
@@ -5,8 +5,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from wingfall.gateway.knowledge.prefix_cache import PartIndex, PrefixCache
 from wingfall.gateway.model.prompt import PromptPart
-from wingfall.gateway.rules.prefix_cache import PartIndex, PrefixCache
 
 
 def parts(*names: str, tokens: int = 100) -> list[PromptPart]:
--- a/tests/test_token_gap_watch.py
+++ b/tests/test_token_gap_watch.py
@@ -6,8 +6,8 @@
 
 from wingfall.clock import ManualClock
 from wingfall.gateway.calls.token_gap_watch import TokenGapWatch
-from wingfall.gateway.endpoints.load import EndpointLoad, LoadTable
-from wingfall.gateway.rules.engine_speed import EngineSpeed
+from wingfall.gateway.knowledge.engine_speed import EngineSpeed
+from wingfall.gateway.knowledge.load import EndpointLoad, LoadTable
 
 
 def make_watch(
--- a/tools/slopes/gateway.py
+++ b/tools/slopes/gateway.py
@@ -9,14 +9,14 @@
 from wingfall.clock import ManualClock
 from wingfall.gateway.calls.destination import choose_destination
 from wingfall.gateway.configuration.replica import ObjectReplica
-from wingfall.gateway.endpoints.endpoint_knowledge import EndpointKnowledge
-from wingfall.gateway.endpoints.endpoint_table import EndpointTable
+from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
+from wingfall.gateway.knowledge.endpoint_table import EndpointTable
+from wingfall.gateway.knowledge.prefix_cache import PrefixCache
 from wingfall.gateway.model.object_store import StoredObject, StoreReading
 from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 from wingfall.gateway.model.prompt import Prompt, PromptPart
 from wingfall.gateway.rules.candidate import Candidate, Demand
 from wingfall.gateway.rules.placement import place_by_reading
-from wingfall.gateway.rules.prefix_cache import PrefixCache
 from wingfall.wire.codec import FrameDecoder, encode
 from wingfall.wire.gateway_messages import GatewayHeartbeat
 
--- a/wingfall/gateway/assembly.py
+++ b/wingfall/gateway/assembly.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING, Any, Final
 
 from wingfall.clock import MS_PER_S
-from wingfall.gateway.endpoints.endpoint_knowledge import EndpointKnowledge
 from wingfall.gateway.endpoints.kept_connections import KeptConnections
+from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
 from wingfall.gateway.model.binding import bindings
 from wingfall.gateway.rules.policies import find_policies
 from wingfall.gateway.rules.retry_budget import RetryBudget
--- a/wingfall/gateway/calls/attempt_tracker.py
+++ b/wingfall/gateway/calls/attempt_tracker.py
@@ -10,8 +10,8 @@
 
 from wingfall.gateway.calls.attempt_log import log_attempt
 from wingfall.gateway.calls.token_gap_watch import TokenGapWatch
+from wingfall.gateway.knowledge.prefix_caches import SentPrompt
 from wingfall.gateway.model.attempt_end import AttemptEnd
-from wingfall.gateway.rules.prefix_caches import SentPrompt
 
 if TYPE_CHECKING:
     from wingfall.gateway.calls.attempt_outcome import AttemptOutcome
--- a/wingfall/gateway/calls/destination.py
+++ b/wingfall/gateway/calls/destination.py
@@ -9,7 +9,7 @@
 import random
 from typing import TYPE_CHECKING, Final, final
 
-from wingfall.gateway.endpoints.load import EndpointLoad
+from wingfall.gateway.knowledge.load import EndpointLoad
 from wingfall.gateway.rules.cache_transfer import copied_tokens
 from wingfall.gateway.rules.candidate import Candidate, Demand
 from wingfall.gateway.rules.shortlist import is_long, prefer_sound, shorten
--- a/wingfall/gateway/calls/token_gap_watch.py
+++ b/wingfall/gateway/calls/token_gap_watch.py
@@ -6,8 +6,8 @@
 
 if TYPE_CHECKING:
     from wingfall.clock import Clock
-    from wingfall.gateway.endpoints.load import LoadTable
-    from wingfall.gateway.rules.engine_speed import EngineSpeed
+    from wingfall.gateway.knowledge.engine_speed import EngineSpeed
+    from wingfall.gateway.knowledge.load import LoadTable
 
 
 @final
--- a/wingfall/gateway/endpoints/__init__.py
+++ b/wingfall/gateway/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoints' side: which there are, connections, and what runs there."""
+"""The endpoints' side: connections, and the events of their streams."""
--- a/wingfall/gateway/endpoints/endpoint_knowledge.py
+++ b/wingfall/gateway/knowledge/endpoint_knowledge.py
@@ -4,17 +4,16 @@
 
 from typing import TYPE_CHECKING, final
 
-from wingfall.gateway.endpoints.endpoint_table import EndpointTable
-from wingfall.gateway.endpoints.load import LoadTable
-from wingfall.gateway.rules.endpoint_health import EndpointHealth
-from wingfall.gateway.rules.engine_speeds import EngineSpeeds
-from wingfall.gateway.rules.long_reads import LongReads
-from wingfall.gateway.rules.placement import SHORT_READ_TOKENS
-from wingfall.gateway.rules.prefix_caches import PrefixCaches
+from wingfall.gateway.knowledge.endpoint_health import EndpointHealth
+from wingfall.gateway.knowledge.endpoint_table import EndpointTable
+from wingfall.gateway.knowledge.engine_speeds import EngineSpeeds
+from wingfall.gateway.knowledge.load import LoadTable
+from wingfall.gateway.knowledge.long_reads import SHORT_READ_TOKENS, LongReads
+from wingfall.gateway.knowledge.prefix_caches import PrefixCaches
 
 if TYPE_CHECKING:
     from wingfall.clock import Clock
-    from wingfall.gateway.rules.engine_speed import EngineSpeed
+    from wingfall.gateway.knowledge.engine_speed import EngineSpeed
 
 
 @final
--- a/wingfall/gateway/rules/long_reads.py
+++ b/wingfall/gateway/knowledge/long_reads.py
@@ -4,11 +4,14 @@
 
 from typing import TYPE_CHECKING, Final, final
 
-from wingfall.gateway.rules.decaying_sum import DecayingSum
+from wingfall.gateway.knowledge.decaying_sum import DecayingSum
 
 if TYPE_CHECKING:
     from wingfall.clock import Clock
 
+# Reads up to this length fit between the tokens of running streams. Not
+# measured by itself: about the piece of a prompt that an engine reads at once.
+SHORT_READ_TOKENS: Final = 1024
 # Long enough that an engine which reads some long prompts a second is told
 # apart from one that reads none, short enough to follow a burst.
 _HALF_LIFE_MS: Final = 1000
--- a/wingfall/gateway/rules/prefix_cache.py
+++ b/wingfall/gateway/knowledge/prefix_cache.py
@@ -10,8 +10,6 @@
 import collections
 from typing import TYPE_CHECKING, Final, final
 
-from wingfall.gateway.rules.shared_read import PendingRead
-
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
@@ -22,6 +20,22 @@
 DEFAULT_CAPACITY_TOKENS: Final = 400_000
 
 
+@final
+class PendingRead:
+    """Parts of a prompt that an engine reads for another prompt."""
+
+    __slots__ = ('ready_in_ms', 'tokens')
+
+    def __init__(self, *, tokens: int, ready_in_ms: int) -> None:
+        """Describe the reading.
+
+        :param tokens: length of the parts.
+        :param ready_in_ms: when they are read, by an estimate.
+        """
+        self.tokens = tokens
+        self.ready_in_ms = ready_in_ms
+
+
 @final
 class PartIndex:
     """Which engines are likely to keep a part, without asking each."""
--- a/wingfall/gateway/rules/prefix_caches.py
+++ b/wingfall/gateway/knowledge/prefix_caches.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Final, final
 
-from wingfall.gateway.rules.prefix_cache import PartIndex, PrefixCache
+from wingfall.gateway.knowledge.prefix_cache import PartIndex, PrefixCache
 
 if TYPE_CHECKING:
     from wingfall.gateway.model.prompt import Prompt, PromptPart
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -24,7 +24,7 @@
     from collections.abc import Iterable
 
     from wingfall.clock import Clock
-    from wingfall.gateway.endpoints.endpoint_knowledge import EndpointKnowledge
+    from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
     from wingfall.gateway.peers.object_exchange import ObjectExchange
     from wingfall.gateway.peers.parts_transfer import PartsTransfer
     from wingfall.gateway.peers.peer_session import PeerSession
--- a/wingfall/gateway/peers/load_entries.py
+++ b/wingfall/gateway/peers/load_entries.py
@@ -5,15 +5,15 @@
 import itertools
 from typing import TYPE_CHECKING, Any, Final, TypeAlias, final
 
-from wingfall.gateway.endpoints.load import EndpointLoad
+from wingfall.gateway.knowledge.endpoint_health import Outcomes
+from wingfall.gateway.knowledge.load import EndpointLoad
 from wingfall.gateway.peers.parts_transfer import read_parts
-from wingfall.gateway.rules.endpoint_health import Outcomes
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from wingfall.gateway.endpoints.endpoint_knowledge import EndpointKnowledge
-    from wingfall.gateway.rules.prefix_caches import SentPrompt
+    from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
+    from wingfall.gateway.knowledge.prefix_caches import SentPrompt
 
 Work: TypeAlias = tuple[int, ...]
 
--- a/wingfall/gateway/peers/load_exchange.py
+++ b/wingfall/gateway/peers/load_exchange.py
@@ -34,7 +34,7 @@
     from collections.abc import Collection, Iterable
 
     from wingfall.clock import Clock
-    from wingfall.gateway.endpoints.endpoint_knowledge import EndpointKnowledge
+    from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
     from wingfall.gateway.peers.peer_session import PeerSession
 
 # Milliseconds after which the work of a zone that isn't heard is forgotten: the
--- a/wingfall/gateway/peers/parts_transfer.py
+++ b/wingfall/gateway/peers/parts_transfer.py
@@ -20,8 +20,8 @@
     from collections.abc import Collection, Iterable
 
     from wingfall.clock import Clock
+    from wingfall.gateway.knowledge.prefix_caches import PrefixCaches
     from wingfall.gateway.peers.peer_session import PeerSession
-    from wingfall.gateway.rules.prefix_caches import PrefixCaches
 
 # Milliseconds between two looks whether a peer has told.
 _TICK_MS: Final = 50
--- a/wingfall/gateway/rules/__init__.py
+++ b/wingfall/gateway/rules/__init__.py
@@ -1,5 +1,6 @@
-"""The gateway's decisions: pure rules over typed inputs.
+"""The gateway's decisions: rules over typed inputs, without I/O or logs.
 
-Nothing here reads a socket, sends or logs. What a rule needs is handed to it,
-with times in milliseconds and lengths in tokens; what it has learned it keeps.
+What a rule needs is handed to it, with times in milliseconds and lengths in
+tokens. Only the retry budget keeps a state of its own. ``docs/DECISIONS.md``
+lists all of them.
 """
--- a/wingfall/gateway/rules/candidate.py
+++ b/wingfall/gateway/rules/candidate.py
@@ -4,7 +4,7 @@
 
 from typing import final
 
-from wingfall.gateway.rules.engine_speed import EngineSpeed
+from wingfall.gateway.knowledge.engine_speed import EngineSpeed
 
 
 @final
--- a/wingfall/gateway/rules/placement.py
+++ b/wingfall/gateway/rules/placement.py
@@ -10,7 +10,8 @@
 
 from typing import TYPE_CHECKING, Callable, Final
 
-from wingfall.gateway.rules.engine_speed import late_chance
+from wingfall.gateway.knowledge.engine_speed import late_chance
+from wingfall.gateway.knowledge.long_reads import SHORT_READ_TOKENS
 from wingfall.registry import Registry
 
 if TYPE_CHECKING:
@@ -52,9 +53,6 @@
 # Tokens for a first event that would likely be late: worth 0.009 of a day at
 # high load (mean of six days with and without).
 _LATE_START_TOKENS: Final = 10_000
-# Reads up to this length fit between the tokens of running streams. Not
-# measured by itself: about the piece of a prompt that an engine reads at once.
-SHORT_READ_TOKENS: Final = 1024
 # Plain services, in running requests. Not measured: chosen so that a request
 # leaves its zone only if one more runs here, and that a full or a failing
 # endpoint is used only if there is no other.
--- a/wingfall/gateway/rules/shared_read.py
+++ b/wingfall/gateway/rules/shared_read.py
@@ -7,10 +7,13 @@
 
 from __future__ import annotations
 
-from typing import Callable, Final, final
+from typing import TYPE_CHECKING, Callable, Final
 
 from wingfall.registry import Registry
 
+if TYPE_CHECKING:
+    from wingfall.gateway.knowledge.prefix_cache import PendingRead
+
 # Fewer tokens are read again sooner than they are waited for. Not measured.
 _LEAST_TOKENS: Final = 1024
 # Part of a caller's time that it waits at most. Not measured: chosen so that an
@@ -19,23 +22,7 @@
 _MOST_WAIT_PART: Final = 0.3
 
 
-@final
-class PendingRead:
-    """Parts of a prompt that an engine reads for another prompt."""
-
-    __slots__ = ('ready_in_ms', 'tokens')
-
-    def __init__(self, *, tokens: int, ready_in_ms: int) -> None:
-        """Describe the reading.
-
-        :param tokens: length of the parts.
-        :param ready_in_ms: when they are read, by an estimate.
-        """
-        self.tokens = tokens
-        self.ready_in_ms = ready_in_ms
-
-
-SharedRead = Callable[[PendingRead, int], int]
+SharedRead = Callable[['PendingRead', int], int]
 shared_reads: Final[Registry[SharedRead]] = Registry(kind='shared read')
 
 
--- a/wingfall/gateway/state.py
+++ b/wingfall/gateway/state.py
@@ -6,8 +6,8 @@
 
 if TYPE_CHECKING:
     from wingfall.clock import Clock
-    from wingfall.gateway.endpoints.endpoint_knowledge import EndpointKnowledge
     from wingfall.gateway.endpoints.kept_connections import KeptConnections
+    from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
     from wingfall.gateway.model.binding import Binding
     from wingfall.gateway.model.routes import Routes
     from wingfall.gateway.rules.policies import Policies
