--- a/wingfall/gateway/callers/caller_connection.py
+++ b/wingfall/gateway/callers/caller_connection.py
@@ -13,6 +13,10 @@
 from returns.result import Success
 
 from wingfall.clock import MS_PER_S
+from wingfall.gateway.callers.request_reader import (
+    RequestLateError,
+    RequestReader,
+)
 from wingfall.gateway.calls.dispatcher import Dispatch, ReplyCutError
 from wingfall.gateway.calls.final_answer import (
     note_answer,
@@ -33,18 +37,10 @@
     from wingfall.gateway.model.call import Call, CallHead
     from wingfall.gateway.state import GatewayState
 
-# Bytes of one read: what a socket holds.
-_READ_BYTES: Final = 65_536
 # Milliseconds: a caller that takes nothing for so long has left. The time is
 # for each piece of an answer, since slow callers of whole answers were cut. Not
 # measured.
 _WRITE_MS: Final = 5000
-# Callers use a connection up to four fifths of the idle bound; some more
-# than the bound is given, since their clocks and ways differ.
-_IDLE_PART: Final = 1.1
-# Milliseconds for a whole body. Not measured: the longest time of a call
-# without a deadline of its own.
-_BODY_MS: Final = 30_000
 # Milliseconds in which a new connection may send its first request although the
 # gateway is stopping. Not measured.
 _YOUNG_MS: Final = 500
@@ -54,10 +50,6 @@
     """The caller has closed its connection."""
 
 
-class _HeadLateError(Exception):
-    """A request began and did not come in time."""
-
-
 @final
 class CallerConnection:
     """Reads requests, has them served, and notices when the caller leaves."""
@@ -66,8 +58,7 @@
         '_closing',
         '_http',
         '_last_ms',
-        '_received',
-        '_shut',
+        '_reader',
         '_socket',
         '_state',
         'busy',
@@ -86,9 +77,14 @@
             h11.SERVER,
             max_incomplete_event_size=self._limits().head_bytes,
         )
-        self._received = False
+        self._reader = RequestReader(
+            sock=sock,
+            http=self._http,
+            clock=state.clock,
+            limits=self._limits,
+            write=self._write,
+        )
         self._closing = False
-        self._shut = False
         # When it was opened or its last request ended.
         self._last_ms = state.clock.now_ms()
         self.busy = False
@@ -97,13 +93,12 @@
         """Serve requests until either side closes."""
         try:
             while self._serve_next():
-                self._http.start_next_cycle()
-                self._received = bool(self._http.trailing_data[0])
+                self._reader.start_next()
         except (CallerGoneError, ReplyCutError):
             self._closing = True
         except h11.RemoteProtocolError as error:
             self._refuse_garbage(error)
-        except (_HeadLateError, OSError):
+        except (RequestLateError, OSError):
             self._closing = True
         finally:
             self.busy = False
@@ -116,11 +111,11 @@
         """
         self._closing = True
         age_ms = self._state.clock.now_ms() - self._last_ms
-        if self.busy or self._received or age_ms < _YOUNG_MS:
+        if self.busy or self._reader.received or age_ms < _YOUNG_MS:
             return
         if is_readable(self._socket):
             return
-        self._shut = True
+        self._reader.shut = True
         try:
             # Wakes the greenlet that reads.
             self._socket.shutdown(socket.SHUT_RDWR)
@@ -132,7 +127,7 @@
         return CallerLimits() if routes is None else routes.limits
 
     def _serve_next(self) -> bool:
-        request = self._read_request()
+        request = self._reader.read_request()
         if request is None:
             return False
         arrived_ms = self._state.clock.now_ms()
@@ -142,7 +137,7 @@
             request.target,
             request.headers.raw_items(),
         )
-        body = self._read_body()
+        body = self._reader.read_body()
         if body is None:
             refusal = refuse_request(
                 http.HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
@@ -209,61 +204,6 @@
             and not self._closing
         )
 
-    def _read_request(self) -> h11.Request | None:
-        started_ms = self._state.clock.now_ms()
-        while True:
-            event = self._http.next_event()
-            if self._shut:
-                return None
-            if isinstance(event, h11.Request):
-                return event
-            if event is not h11.NEED_DATA:
-                return None
-            if not self._received:
-                self._wait_for_first_byte(started_ms)
-                started_ms = self._state.clock.now_ms()
-            elif not self._read(started_ms + self._limits().head_ms):
-                return None
-
-    def _wait_for_first_byte(self, started_ms: int) -> None:
-        while not self._received:
-            # The bound may have changed while the connection rested.
-            idle_ms = self._limits().idle_ms * _IDLE_PART
-            self._read(started_ms + int(idle_ms))
-
-    def _read(self, until_ms: int) -> bool:
-        left_ms = until_ms - self._state.clock.now_ms()
-        if left_ms <= 0:
-            raise _HeadLateError
-        self._socket.settimeout(left_ms / MS_PER_S)
-        try:
-            received = self._socket.recv(_READ_BYTES)
-        except TimeoutError:
-            return self._read(until_ms)
-        self._received = True
-        self._http.receive_data(received)
-        return bool(received)
-
-    def _read_body(self) -> bytes | None:
-        pieces: list[bytes] = []
-        size = 0
-        until_ms = self._state.clock.now_ms() + _BODY_MS
-        while True:
-            if self._http.they_are_waiting_for_100_continue:
-                self._write(
-                    h11.InformationalResponse(status_code=100, headers=[])
-                )
-            event = self._http.next_event()
-            if event is h11.NEED_DATA:
-                self._read(until_ms)
-            elif isinstance(event, h11.Data):
-                pieces.append(bytes(event.data))
-                size += len(event.data)
-                if size > self._limits().body_bytes:
-                    return None
-            else:
-                return b''.join(pieces)
-
     def _write(self, *events: h11.Event) -> None:
         encoded = b''.join(filter(None, map(self._http.send, events)))
         if not encoded:
