--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -1,4 +1,8 @@
-"""The gateway: its supervisor tree and its planned stop."""
+"""The gateway: its supervisor tree and its planned stop.
+
+Owns the ports, the callers' connections and all long-lived greenlets; makes
+everything else and hands each part what it needs.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/callers/caller_connection.py
+++ b/wingfall/gateway/callers/caller_connection.py
@@ -1,4 +1,9 @@
-"""One HTTP connection of a caller, request after request."""
+"""One HTTP connection of a caller, request after request.
+
+Owns the socket and its state of HTTP. A second greenlet watches the socket
+while a call is served and ends the call when the caller leaves. Relies on
+:mod:`wingfall.gateway.calls` for the answers.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/callers/readiness.py
+++ b/wingfall/gateway/callers/readiness.py
@@ -1,4 +1,7 @@
-"""Answers the balancer's question whether this gateway is ready."""
+"""Answers the load balancer's question whether this gateway is ready.
+
+Owns nothing; the application tells why it is not ready.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/callers/request_reader.py
+++ b/wingfall/gateway/callers/request_reader.py
@@ -31,7 +31,7 @@
 
 @final
 class RequestReader:
-    """Reads heads and bodies, within the bounds of the configuration in force."""
+    """Reads heads and bodies within the bounds in force."""
 
     __slots__ = (
         '_clock',
--- a/wingfall/gateway/calls/attempt.py
+++ b/wingfall/gateway/calls/attempt.py
@@ -1,4 +1,9 @@
-"""One sending of a request to one endpoint, and what became of it."""
+"""One attempt: a request sent to one endpoint, and its answer read.
+
+Owns the connection while it runs; gives it back after a whole answer and closes
+it otherwise, so that the endpoint stops working. Events of a stream pass on as
+soon as they are whole.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/calls/final_answer.py
+++ b/wingfall/gateway/calls/final_answer.py
@@ -1,4 +1,7 @@
-"""What a gateway writes and logs when a call has its final answer."""
+"""What a gateway writes, logs and counts when a call has its final answer.
+
+The lines are read by ``wingfall losses``; their sentences and fields are fixed.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/calls/intake.py
+++ b/wingfall/gateway/calls/intake.py
@@ -1,4 +1,8 @@
-"""Takes a request in: its route, its customer and its deadline."""
+"""Takes a request in: its route, its customer and its deadline.
+
+Relies on the configuration in force alone; nothing is sent yet, so each refusal
+here is true of a request that has not run.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/calls/reply.py
+++ b/wingfall/gateway/calls/reply.py
@@ -1,4 +1,8 @@
-"""The answer to one caller: whole, or a stream of events."""
+"""The answer to one caller: whole, or a stream of events.
+
+Owns what was written so far, by which a call knows whether it can still be
+answered otherwise, or where a stream goes on.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/calls/stream_continuation.py
+++ b/wingfall/gateway/calls/stream_continuation.py
@@ -1,4 +1,8 @@
-"""Goes on with a stream at the engine that keeps a copy of its run."""
+"""Goes on with a stream at the engine that keeps a copy of its run.
+
+A stream that may neither be repeated nor resumed is saved so if its engine
+ends. Two engines must never work on the same run.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/calls/token_gap_watch.py
+++ b/wingfall/gateway/calls/token_gap_watch.py
@@ -1,4 +1,8 @@
-"""Measures the gaps between the events of one engine's stream."""
+"""Measures the gaps between the events of one engine's stream.
+
+Owns the longest gap of one attempt and what the engine read during it; teaches
+the engine's speed.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/configuration/follower.py
+++ b/wingfall/gateway/configuration/follower.py
@@ -1,4 +1,8 @@
-"""Follows one kind of object in the platform's store: list, then watch."""
+"""Follows one kind of object in the platform's store: list, then watch.
+
+Owns the revision up to which the store has been read. Only gateways on watch
+duty ask; the others leave it to their peers. What is read goes to a replica.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/configuration/object_applier.py
+++ b/wingfall/gateway/configuration/object_applier.py
@@ -1,4 +1,9 @@
-"""Puts the platform's objects in force as they arrive."""
+"""Puts the platform's objects in force as they arrive.
+
+The only place that replaces the configuration in force and changes the table of
+endpoints. Relies on the replicas to bring each object in the order of its
+revisions.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/endpoints/endpoint_connection.py
+++ b/wingfall/gateway/endpoints/endpoint_connection.py
@@ -1,4 +1,8 @@
-"""One HTTP connection from a gateway to an endpoint."""
+"""One HTTP connection from a gateway to an endpoint.
+
+Owns the socket and its state of HTTP for one request at a time. Errors say what
+they prove: nothing was sent, the answer is broken, or it is late.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/endpoints/event_stream.py
+++ b/wingfall/gateway/endpoints/event_stream.py
@@ -1,4 +1,8 @@
-"""Cutting an event stream into whole events."""
+"""Cuts an event stream into whole events.
+
+Owns the bytes of the event that has not ended; they are never passed on, so
+that a stream can go on elsewhere after its last whole event.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/endpoints/kept_connections.py
+++ b/wingfall/gateway/endpoints/kept_connections.py
@@ -1,4 +1,8 @@
-"""Idle connections to endpoints, kept for further requests."""
+"""Idle connections to endpoints, kept for further requests.
+
+Owns them between two requests. A kept one may be dead without a sign, so
+requests that may not be repeated get a new one.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/knowledge/endpoint_health.py
+++ b/wingfall/gateway/knowledge/endpoint_health.py
@@ -1,4 +1,8 @@
-"""Which endpoints fail, by what they do and not by what they say."""
+"""Which endpoints fail, by what they do and not by what they say.
+
+Owns a share of failures and a time out for each endpoint, and the outcomes that
+peers have not been told.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/knowledge/endpoint_knowledge.py
+++ b/wingfall/gateway/knowledge/endpoint_knowledge.py
@@ -1,4 +1,7 @@
-"""What a gateway knows of the endpoints: listed, seen by itself, or told."""
+"""What a gateway knows of the endpoints: listed, seen by itself, or told.
+
+Joins the tables and forgets endpoints that are gone. Decides nothing.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/knowledge/endpoint_table.py
+++ b/wingfall/gateway/knowledge/endpoint_table.py
@@ -1,4 +1,8 @@
-"""The endpoints that a gateway knows, and whether they take new work."""
+"""The endpoints that a gateway knows, and whether they take new work.
+
+Filled by the object applier alone. An entry that went may only have lapsed in
+the store, which is decided here.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/knowledge/engine_speeds.py
+++ b/wingfall/gateway/knowledge/engine_speeds.py
@@ -1,4 +1,7 @@
-"""How fast all engines are, each by itself and a pool's on average."""
+"""How fast all engines are, each by itself and a pool's on average.
+
+Owns them by name; a new engine starts with the average of its pool.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/knowledge/load.py
+++ b/wingfall/gateway/knowledge/load.py
@@ -1,4 +1,9 @@
-"""What runs where, by this gateway's own count and what its peers tell."""
+"""What runs where, by this gateway's own count and what its peers tell.
+
+Owns the work of each gateway at each endpoint, and the sum over peers. Own
+work is counted from its sending to its end; what peers tell replaces what they
+told.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/knowledge/long_reads.py
+++ b/wingfall/gateway/knowledge/long_reads.py
@@ -1,4 +1,7 @@
-"""How much engines were sent to read lately."""
+"""How many tokens of long prompts engines were sent lately.
+
+Owns one fading sum an engine; both own prompts and those that peers tell count.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/knowledge/prefix_caches.py
+++ b/wingfall/gateway/knowledge/prefix_caches.py
@@ -1,4 +1,8 @@
-"""The models of all engines' memories, and what peers don't know of them."""
+"""The models of all engines' prefix caches, and what peers don't know of them.
+
+Owns a model an engine, an index of who caches which part, and the prompts that
+peers have not been told.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/model/binding.py
+++ b/wingfall/gateway/model/binding.py
@@ -1,4 +1,8 @@
-"""What a gateway needs of the platform it runs on."""
+"""What a gateway needs of the platform it runs on.
+
+The interface that :mod:`wingfall.platform` implements: it reads and writes the
+platform's headers, paths and objects; its names stay on its side.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/model/call.py
+++ b/wingfall/gateway/model/call.py
@@ -1,4 +1,7 @@
-"""A request at a gateway, from its head to its final answer."""
+"""A request at a gateway, from its head to its final answer.
+
+Plain data; times are milliseconds, deadlines readings of the clock.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/model/object_store.py
+++ b/wingfall/gateway/model/object_store.py
@@ -1,4 +1,7 @@
-"""Objects of the platform's store, and how a gateway reads them."""
+"""Objects of the platform's store, and how a gateway reads them.
+
+A revision is the store's counter at a change; it only rises.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/model/prompt.py
+++ b/wingfall/gateway/model/prompt.py
@@ -1,4 +1,7 @@
-"""What is known of a prompt before it runs."""
+"""What is known of a prompt before it runs: its parts and their tokens.
+
+Parts that other prompts share come first; the last one is its own.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/model/routes.py
+++ b/wingfall/gateway/model/routes.py
@@ -1,4 +1,8 @@
-"""The configuration in force at a gateway: routes, pools and customers."""
+"""The configuration in force at a gateway: routes, pools and customers.
+
+Plain data with indexes for look-ups; a version is replaced as a whole. Times
+are milliseconds, a tier of 0 is the highest.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/peers/gateway_peers.py
+++ b/wingfall/gateway/peers/gateway_peers.py
@@ -1,4 +1,9 @@
-"""Connections between gateways: who knows whom, and who watches the store."""
+"""Connections between gateways: who is connected, and who watches the store.
+
+Owns the sessions and the port for peers; one session is kept with each peer.
+What is said over them is the matter of
+:mod:`wingfall.gateway.peers.heartbeats`.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -1,4 +1,8 @@
-"""What a gateway tells its peers some times a second, and hears of them."""
+"""What a gateway tells its peers some times a second, and hears of them.
+
+Owns when to tell; gives each message to the part that handles it: loads,
+objects, or parts that engines cache.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/peers/load_entries.py
+++ b/wingfall/gateway/peers/load_entries.py
@@ -1,4 +1,8 @@
-"""Work at endpoints as it stands in messages between gateways."""
+"""Loads, prompts and outcomes as they stand in messages between gateways.
+
+Translates between the tables of :mod:`wingfall.gateway.knowledge` and the
+lists on the wire, whose order is fixed.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/peers/object_exchange.py
+++ b/wingfall/gateway/peers/object_exchange.py
@@ -1,4 +1,8 @@
-"""Gateways give each other the objects that one of them lacks."""
+"""Gateways give each other the objects that one of them lacks.
+
+Owns one fetch a kind, and what was packed last for peers. Relies on revisions
+of replicas; a peer that is ahead for a moment is asked.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/peers/peer_session.py
+++ b/wingfall/gateway/peers/peer_session.py
@@ -1,4 +1,7 @@
-"""One connection between two gateways."""
+"""One connection between two gateways, and what the peer has told.
+
+Which of two connections with the same peer is kept is decided here.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/peers/relay_choice.py
+++ b/wingfall/gateway/peers/relay_choice.py
@@ -1,4 +1,7 @@
-"""Which gateway speaks for its availability zone."""
+"""Which gateway speaks for its availability zone.
+
+All gateways of a zone come to the same answer from what they hear.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/peers/watch_duty.py
+++ b/wingfall/gateway/peers/watch_duty.py
@@ -1,4 +1,8 @@
-"""Which gateways watch the store for the others."""
+"""Which gateways watch the store for the others.
+
+All gateways that hear each other come to the same answer; owns only since when
+there have been too few.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/rules/candidate.py
+++ b/wingfall/gateway/rules/candidate.py
@@ -1,4 +1,7 @@
-"""The inputs of a placement: a request, and the endpoints it may go to."""
+"""The inputs of a placement: a request, and the endpoints it may go to.
+
+Plain data; times are milliseconds, lengths tokens.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/rules/policies.py
+++ b/wingfall/gateway/rules/policies.py
@@ -1,4 +1,7 @@
-"""The rules that settings choose by name."""
+"""The rules that settings choose by name, one of each kind.
+
+Each kind has a registry beside its rules; baselines stay selectable.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/rules/retry.py
+++ b/wingfall/gateway/rules/retry.py
@@ -1,4 +1,9 @@
-"""Whether a call is sent again after an attempt without an answer."""
+"""Whether a call is sent again after an attempt without an answer.
+
+A request runs at most once unless it may be repeated: it is sent again only
+after a proof that it did not run. Retries that put load on endpoints take from
+a budget that all gateways share.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/state.py
+++ b/wingfall/gateway/state.py
@@ -1,4 +1,7 @@
-"""What all calls of a gateway share."""
+"""What all calls of a gateway share.
+
+Each field has one owner that changes it; calls ask.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/platform/documents.py
+++ b/wingfall/platform/documents.py
@@ -1,4 +1,8 @@
-"""The platform's stored objects as the product's routes and endpoints."""
+"""The platform's stored objects, read into routes and endpoints.
+
+The only place that knows their fields. What can't be read is a failure with its
+reason; defaults are those of the platform.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/platform/headers.py
+++ b/wingfall/platform/headers.py
@@ -1,4 +1,9 @@
-"""The platform's headers on requests and answers."""
+"""The platform's headers on requests and answers.
+
+The only place that knows their names: read into a call's head and the meaning
+of an answer, written for endpoints and callers. What a caller may not set is
+dropped.
+"""
 
 from __future__ import annotations
 
--- a/wingfall/platform/store.py
+++ b/wingfall/platform/store.py
@@ -1,4 +1,7 @@
-"""The platform's object store over HTTP."""
+"""The platform's object store over HTTP: lists by page, watches that wait.
+
+Owns the connections to it; each call is counted, each failure is a value.
+"""
 
 from __future__ import annotations
 
