--- a/tests/test_endpoint_health.py
+++ b/tests/test_endpoint_health.py
@@ -63,25 +63,25 @@
     for _failure in range(6):
         told.note_failure('one')
     told.note_success('one')
-    news = told.take_news()
-    assert (news['one'].failed, news['one'].served) == (6, 1)
-    assert not told.take_news()
-    hearing.hear('one', news['one'])
+    unsent = told.take_unsent()
+    assert (unsent['one'].failed, unsent['one'].served) == (6, 1)
+    assert not told.take_unsent()
+    hearing.take_from_peer('one', unsent['one'])
     assert told.failing('one') > hearing.failing('one')
     assert round(hearing.failing('one') * 10) == 4
 
 
 def test_what_peers_are_served_ends_failures(clock: ManualClock):
     health = EndpointHealth(clock=clock)
-    health.hear('one', Outcomes(failed=10))
+    health.take_from_peer('one', Outcomes(failed=10))
     failing = health.failing('one')
-    health.hear('one', Outcomes(served=10))
+    health.take_from_peer('one', Outcomes(served=10))
     assert health.failing('one') < failing / 2
-    health.hear('two', Outcomes(served=10))
+    health.take_from_peer('two', Outcomes(served=10))
     assert not health.failing('two')
 
 
 def test_what_is_heard_is_not_told_again(clock: ManualClock):
     health = EndpointHealth(clock=clock)
-    health.hear('one', Outcomes(failed=3))
-    assert not health.take_news()
+    health.take_from_peer('one', Outcomes(failed=3))
+    assert not health.take_unsent()
--- a/tests/test_gateway_follower.py
+++ b/tests/test_gateway_follower.py
@@ -153,7 +153,7 @@
     followed.store.status = DOWN
     followed.start()
     wait_until(lambda: len(followed.store.calls) > 2)
-    assert not followed.follower.has_heard(within_ms=60_000)
+    assert not followed.follower.has_answered(within_ms=60_000)
     followed.store.status = 0
     wait_until(lambda: followed.replica.revision)
 
@@ -197,9 +197,9 @@
     wait_until(lambda: followed.store.brief)
     gevent.sleep(0.1)
     within_ms = 50
-    assert not followed.follower.has_heard(within_ms)
+    assert not followed.follower.has_answered(within_ms)
     followed.store.progress()
-    assert followed.follower.has_heard(within_ms)
+    assert followed.follower.has_answered(within_ms)
 
 
 def test_store_that_forgot_its_history_is_not_lost(followed: _Followed):
@@ -207,7 +207,7 @@
     list_all = followed.store.list_all
 
     def note_and_list(**named: Callable[[], None]) -> object:
-        heard.append(followed.follower.has_heard(within_ms=1000))
+        heard.append(followed.follower.has_answered(within_ms=1000))
         return list_all(**named)
 
     followed.store.list_all = note_and_list
--- a/tests/test_heartbeat_schedule.py
+++ b/tests/test_heartbeat_schedule.py
@@ -18,7 +18,7 @@
     for now_ms in range(0, 10_000, 100):
         due = schedule.due(
             now_ms,
-            has_news=news,
+            has_changes=news,
             watching=watching,
             new_objects=news,
         )
@@ -55,9 +55,13 @@
     schedule = HeartbeatSchedule()
     schedule.set_peers(near=8, peers=300)
     schedule.note_sent(0, HeartbeatDue.whole)
-    due = schedule.due(100, has_news=True, watching=False, new_objects=False)
+    due = schedule.due(100, has_changes=True, watching=False, new_objects=False)
     assert due is HeartbeatDue.changes
-    due = schedule.due(2900, has_news=True, watching=False, new_objects=False)
+    due = schedule.due(
+        2900, has_changes=True, watching=False, new_objects=False
+    )
     assert due is HeartbeatDue.changes
-    due = schedule.due(3000, has_news=True, watching=False, new_objects=False)
+    due = schedule.due(
+        3000, has_changes=True, watching=False, new_objects=False
+    )
     assert due is HeartbeatDue.whole
--- a/tests/test_load_exchange.py
+++ b/tests/test_load_exchange.py
@@ -67,7 +67,7 @@
             return
         self._site.messages[source.zone != sink.zone] += 1
         session = sink.sessions[source.name]
-        sink.exchange.hear_zone(session, message, sink.sessions.values())
+        sink.exchange.take_zone(session, message, sink.sessions.values())
 
 
 @final
@@ -135,14 +135,16 @@
 
     def _tell(self, one: _Gateway, *, whole: bool) -> None:
         loads = one.exchange.take_loads(whole=whole)
-        news = one.exchange.take_news()
+        activity = one.exchange.take_activity()
         for name in one.sessions:
             (other,) = [each for each in self.gateways if each.name == name]
             session = other.sessions[one.name]
-            session.heard_ms = self.clock.now_ms()
+            session.last_seen_ms = self.clock.now_ms()
             session.reach = one.exchange.reach(one.sessions.values())
             if other.zone == one.zone:
-                other.exchange.hear(session, loads, news, whole=whole)
+                other.exchange.take_heartbeat(
+                    session, loads, activity, whole=whole
+                )
 
 
 @pytest.fixture
--- a/tests/test_memory_survey.py
+++ b/tests/test_memory_survey.py
@@ -51,7 +51,7 @@
         for number in range(RECENT_PARTS + 10)
     )
     caches.learn('e1', parts)
-    (told,) = caches.take_news()
+    (told,) = caches.take_unsent()
     assert told.endpoint == 'e1'
     assert told.parts == parts[-RECENT_PARTS:]
     assert caches.find('e1').cached_tokens(parts) == len(parts)
--- a/tests/test_parts_transfer.py
+++ b/tests/test_parts_transfer.py
@@ -42,10 +42,12 @@
     return _Gateway()
 
 
-def peer(name: str, zone: str = ZONE, *, informed: bool = True) -> PeerSession:
+def peer(
+    name: str, zone: str = ZONE, *, knows_caches: bool = True
+) -> PeerSession:
     """Make a session with a peer."""
     session = make_peer(name, zone)
-    session.informed = informed
+    session.knows_caches = knows_caches
     return session
 
 
@@ -55,7 +57,7 @@
 
 
 def test_one_peer_that_knows_is_asked(gateway: _Gateway):
-    peers = [peer('new', informed=False), peer('one'), peer('two')]
+    peers = [peer('new', knows_caches=False), peer('one'), peer('two')]
     gateway.transfer.step(peers)
     gateway.transfer.step(peers)
     assert asked(*peers) == ['one']
@@ -91,15 +93,15 @@
 
 
 def test_gateway_is_informed_when_nobody_knows(gateway: _Gateway):
-    new = peer('new', informed=False)
+    new = peer('new', knows_caches=False)
     gateway.clock.advance(2900)
     gateway.transfer.step([new])
-    assert not gateway.transfer.informed
+    assert not gateway.transfer.knows_caches
     gateway.clock.advance(100)
     gateway.transfer.step([])
-    assert not gateway.transfer.informed
+    assert not gateway.transfer.knows_caches
     gateway.transfer.step([new])
-    assert gateway.transfer.informed
+    assert gateway.transfer.knows_caches
 
 
 def test_what_a_peer_tells_is_known(gateway: _Gateway):
@@ -107,7 +109,7 @@
     knowing.caches.find('e1').note(PARTS)
     knowing.transfer.answer(session, PartsFetch(most=10))
     gateway.transfer.take(session, session.connection.sent[0])
-    assert gateway.transfer.informed
+    assert gateway.transfer.knows_caches
     assert gateway.caches.find('e1').cached_tokens(PARTS) == 500
 
 
@@ -123,11 +125,11 @@
 
 
 def test_gateway_that_lost_most_peers_asks_again(gateway: _Gateway):
-    gateway.transfer.informed = True
+    gateway.transfer.knows_caches = True
     gateway.transfer.note_sessions(connected=12, known=24)
-    assert gateway.transfer.informed
+    assert gateway.transfer.knows_caches
     gateway.transfer.note_sessions(connected=11, known=24)
-    assert not gateway.transfer.informed
+    assert not gateway.transfer.knows_caches
 
 
 def test_engines_are_shared_out_among_gateways():
--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -253,7 +253,7 @@
 
     def _watches(self) -> bool:
         within_ms = self._settings.store.watch_ms + _WATCH_SLACK_MS
-        return all(each.has_heard(within_ms) for each in self._followers)
+        return all(each.has_answered(within_ms) for each in self._followers)
 
     def _busy(self) -> int:
         return sum(connection.busy for connection in self._open)
--- a/wingfall/gateway/configuration/follower.py
+++ b/wingfall/gateway/configuration/follower.py
@@ -51,7 +51,7 @@
     __slots__ = (
         '_backoff',
         '_clock',
-        '_heard_ms',
+        '_answered_ms',
         '_held',
         '_holds_watch',
         '_idle',
@@ -85,7 +85,7 @@
         self._clock = clock
         self._holds_watch = holds_watch
         self._leads = leads
-        self._heard_ms = 0
+        self._answered_ms = 0
         # Whether it watched the store at the last look, for the log.
         self._held = False
         self._revision: int | None = None
@@ -104,14 +104,16 @@
         """Kind of the objects that it follows."""
         return self._replica.kind
 
-    def has_heard(self, within_ms: int) -> bool:
+    def has_answered(self, within_ms: int) -> bool:
         """Tell whether the store has answered lately.
 
         :param within_ms: how long ago at most.
         :returns: whether it has, and has not failed since.
         """
-        age_ms = self._clock.now_ms() - self._heard_ms
-        return not self._lost and bool(self._heard_ms) and age_ms <= within_ms
+        age_ms = self._clock.now_ms() - self._answered_ms
+        return (
+            not self._lost and bool(self._answered_ms) and age_ms <= within_ms
+        )
 
     def follow(self, stop: Event) -> None:
         """Follow until told to stop.
@@ -174,7 +176,7 @@
                 call='list' if revision is None else 'watch',
                 objects=len(reading.objects),
                 revision=reading.revision,
-                ms=self._heard_ms - asked_ms,
+                ms=self._answered_ms - asked_ms,
             )
             gevent.sleep(REST_MS / MS_PER_S)
         return True
@@ -196,7 +198,7 @@
 
     def _note_progress(self) -> None:
         # A long answer over a slow link is being heard as long as it comes.
-        self._heard_ms = self._clock.now_ms()
+        self._answered_ms = self._clock.now_ms()
 
     def _note_held(self, *, held: bool) -> None:
         if held is not self._held:
@@ -206,7 +208,7 @@
                 'Watched from here.' if held else 'Watched by peers.',
                 kind=self._replica.kind,
                 revision=self._revision,
-                heard_ms=self._clock.now_ms() - self._heard_ms,
+                heard_ms=self._clock.now_ms() - self._answered_ms,
             )
 
     def _note_failed(self, failure: PlatformError) -> None:
--- a/wingfall/gateway/knowledge/endpoint_health.py
+++ b/wingfall/gateway/knowledge/endpoint_health.py
@@ -76,7 +76,7 @@
     them, so that each needn't meet the failures by itself.
     """
 
-    __slots__ = ('_clock', '_news', '_records')
+    __slots__ = ('_clock', '_unsent', '_records')
 
     def __init__(self, *, clock: Clock) -> None:
         """Start without a fault.
@@ -86,7 +86,7 @@
         self._clock = clock
         self._records: dict[str, _Record] = {}
         # Outcomes that peers have not heard of.
-        self._news: dict[str, Outcomes] = {}
+        self._unsent: dict[str, Outcomes] = {}
 
     def note_success(self, name: str) -> None:
         """Count an answer.
@@ -118,16 +118,16 @@
         record.until_ms = self._clock.now_ms() + record.eject_ms
         record.eject_ms = min(_MAX_EJECT_MS, record.eject_ms * 2)
 
-    def take_news(self) -> dict[str, Outcomes]:
+    def take_unsent(self) -> dict[str, Outcomes]:
         """Take what the peers have not heard of.
 
         :returns: outcomes since the last call, by endpoint.
         """
-        news = self._news
-        self._news = {}
-        return news
+        unsent = self._unsent
+        self._unsent = {}
+        return unsent
 
-    def hear(self, name: str, outcomes: Outcomes) -> None:
+    def take_from_peer(self, name: str, outcomes: Outcomes) -> None:
         """Take what a peer tells.
 
         :param name: the endpoint.
@@ -166,11 +166,11 @@
         """
         for name in self._records.keys() - names:
             self._records.pop(name)
-        for name in self._news.keys() - names:
-            self._news.pop(name)
+        for name in self._unsent.keys() - names:
+            self._unsent.pop(name)
 
     def _tell(self, name: str, outcomes: Outcomes) -> None:
-        self._news.setdefault(name, Outcomes()).add(outcomes)
+        self._unsent.setdefault(name, Outcomes()).add(outcomes)
 
     def _faded(self, record: _Record) -> float:
         age_ms = self._clock.now_ms() - record.changed_ms
--- a/wingfall/gateway/knowledge/load.py
+++ b/wingfall/gateway/knowledge/load.py
@@ -65,14 +65,14 @@
 class LoadTable:
     """Work at all endpoints."""
 
-    __slots__ = ('_changed', '_heard', '_own', '_peers')
+    __slots__ = ('_changed', '_of_peers', '_own', '_peers')
 
     def __init__(self) -> None:
         """Start without work."""
         self._own: dict[str, EndpointLoad] = {}
         self._peers: dict[str, dict[str, EndpointLoad]] = {}
         # The sum over all peers, so that a look-up doesn't grow with them.
-        self._heard: dict[str, EndpointLoad] = {}
+        self._of_peers: dict[str, EndpointLoad] = {}
         # Endpoints whose own work the peers have not heard of.
         self._changed: set[str] = set()
 
@@ -104,7 +104,7 @@
         :returns: the work of this gateway and its peers.
         """
         summed = EndpointLoad()
-        for table in (self._own, self._heard):
+        for table in (self._own, self._of_peers):
             load = table.get(endpoint)
             if load is not None:
                 summed.add(load)
@@ -147,7 +147,7 @@
         if own.idle:
             self._own.pop(endpoint)
 
-    def hear(
+    def take_from_peer(
         self,
         peer: str,
         loads: Iterable[tuple[str, EndpointLoad]],
@@ -182,12 +182,12 @@
         known: EndpointLoad | None,
         load: EndpointLoad,
     ) -> None:
-        heard = self._heard.setdefault(endpoint, EndpointLoad())
+        of_peers = self._of_peers.setdefault(endpoint, EndpointLoad())
         if known is not None:
-            heard.add(known, -1)
-        heard.add(load)
-        if heard.idle:
-            self._heard.pop(endpoint)
+            of_peers.add(known, -1)
+        of_peers.add(load)
+        if of_peers.idle:
+            self._of_peers.pop(endpoint)
 
 
 @final
--- a/wingfall/gateway/knowledge/prefix_caches.py
+++ b/wingfall/gateway/knowledge/prefix_caches.py
@@ -45,14 +45,14 @@
 class PrefixCaches:
     """The models of all engines' memories."""
 
-    __slots__ = ('_by_endpoint', '_index', 'news')
+    __slots__ = ('_by_endpoint', '_index', 'unsent')
 
     def __init__(self) -> None:
         """Start empty."""
         self._by_endpoint: dict[str, PrefixCache] = {}
         self._index = PartIndex()
         # Prompts that peers have not been told of yet.
-        self.news: list[SentPrompt] = []
+        self.unsent: list[SentPrompt] = []
 
     def find(self, endpoint: str) -> PrefixCache:
         """Give the model of an engine.
@@ -96,7 +96,7 @@
         :param ready_ms: when it is likely read.
         """
         self.find(sent.endpoint).note(sent.parts, ready_ms)
-        self.news.append(sent)
+        self.unsent.append(sent)
 
     def confirm_read(self, endpoint: str, prompt: Prompt) -> None:
         """Note that an engine has read a prompt, since its answer began.
@@ -122,16 +122,16 @@
         """
         self.find(endpoint).note(parts)
         told = parts[-RECENT_PARTS:]
-        self.news.append(SentPrompt(endpoint=endpoint, parts=told, unread=0))
+        self.unsent.append(SentPrompt(endpoint=endpoint, parts=told, unread=0))
 
-    def take_news(self) -> list[SentPrompt]:
+    def take_unsent(self) -> list[SentPrompt]:
         """Take what the peers have not heard of.
 
         :returns: the prompts sent since the last call.
         """
-        news = self.news
-        self.news = []
-        return news
+        unsent = self.unsent
+        self.unsent = []
+        return unsent
 
     def forget(self, names: set[str]) -> None:
         """Keep only the endpoints that are listed.
--- a/wingfall/gateway/peers/gateway_peers.py
+++ b/wingfall/gateway/peers/gateway_peers.py
@@ -18,7 +18,7 @@
 from wingfall.errors import WireError
 from wingfall.gateway.peers.heartbeat_schedule import (
     TICK_MS,
-    heard_within_ms,
+    seen_within_ms,
     silence_ms,
 )
 from wingfall.gateway.peers.heartbeats import Heartbeats
@@ -135,13 +135,13 @@
         isn't heard for a moment is replaced by the next.
         """
         # Who watches is heard each second, however many gateways there are.
-        before = self._before(heard_within_ms(1))
+        before = self._before(seen_within_ms(1))
         return self._watch_duty.holds(before, self._state.clock.now_ms())
 
     @property
     def leads(self) -> bool:
         """Whether this gateway shall be among the first to ask a lost store."""
-        within_ms = heard_within_ms(len(self._sessions))
+        within_ms = seen_within_ms(len(self._sessions))
         return len(self._before(within_ms)) < WATCHERS
 
     def start(self) -> None:
@@ -177,7 +177,7 @@
             session
             for session in self._sessions.values()
             if not session.leaving
-            and session.heard_ms >= oldest_ms
+            and session.last_seen_ms >= oldest_ms
             and rank(session.name) < own_rank
         ]
 
--- a/wingfall/gateway/peers/heartbeat_schedule.py
+++ b/wingfall/gateway/peers/heartbeat_schedule.py
@@ -52,7 +52,7 @@
     return max(_MIN_SILENCE_MS, interval_ms(peers) * _SILENT_INTERVALS)
 
 
-def heard_within_ms(peers: int) -> int:
+def seen_within_ms(peers: int) -> int:
     """Give the time in which a peer that is well is heard.
 
     :param peers: how many peers it tells.
@@ -87,14 +87,14 @@
         self,
         now_ms: int,
         *,
-        has_news: bool,
+        has_changes: bool,
         watching: bool,
         new_objects: bool,
     ) -> HeartbeatDue:
         """Decide what to tell now.
 
         :param now_ms: the time.
-        :param has_news: whether loads have changed.
+        :param has_changes: whether loads have changed.
         :param watching: whether this gateway hears the store for others.
         :param new_objects: whether it has heard of a change.
         :returns: what is due.
@@ -103,7 +103,7 @@
         if now_ms - self._whole_ms >= whole_ms:
             return HeartbeatDue.whole
         rested = now_ms - self._sent_ms >= self._interval_ms
-        if (watching and new_objects) or (has_news and rested):
+        if (watching and new_objects) or (has_changes and rested):
             return HeartbeatDue.changes
         return HeartbeatDue.none
 
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -12,7 +12,7 @@
     HeartbeatDue,
     HeartbeatSchedule,
 )
-from wingfall.gateway.peers.load_entries import News
+from wingfall.gateway.peers.load_entries import Activity
 from wingfall.gateway.peers.load_exchange import LoadExchange
 from wingfall.wire.codec import encode
 from wingfall.wire.gateway_messages import (
@@ -48,8 +48,8 @@
         '_loads',
         '_schedule',
         '_sessions',
-        '_told_revisions',
-        '_told_watching',
+        '_sent_revisions',
+        '_sent_watching',
         '_transfer',
         '_watches',
         '_zone',
@@ -95,11 +95,11 @@
             knowledge=knowledge,
         )
         self._schedule = HeartbeatSchedule()
-        self._told_revisions: dict[str, int] = {}
-        self._told_watching = False
+        self._sent_revisions: dict[str, int] = {}
+        self._sent_watching = False
         self._handlers: dict[type[Message], Callable[..., None]] = {
-            GatewayHeartbeat: self._hear,
-            ZoneLoads: self._hear_zone,
+            GatewayHeartbeat: self._take_heartbeat,
+            ZoneLoads: self._take_zone,
             ObjectsFetch: exchange.answer,
             ObjectsPage: exchange.take,
             PartsFetch: transfer.answer,
@@ -114,7 +114,7 @@
         near = self._loads.near([session])
         heartbeat = self._make_heartbeat(
             self._loads.own_loads() if near else [],
-            News(),
+            Activity(),
             self._is_stopping(),
             whole=True,
         )
@@ -148,11 +148,11 @@
         watching = self._watches()
         due = self._schedule.due(
             now_ms,
-            has_news=self._load.has_changed,
+            has_changes=self._load.has_changed,
             watching=watching,
             new_objects=self._has_new_objects(),
         )
-        if watching is not self._told_watching:
+        if watching is not self._sent_watching:
             # Others step in, or need no longer, as soon as they hear it.
             due = HeartbeatDue.whole
         if due is not HeartbeatDue.none:
@@ -174,43 +174,45 @@
         if whole or leaving or self._has_new_objects():
             far = [each for each in sessions if each.zone != self._zone]
             _send_to_all(
-                far, self._make_heartbeat([], News(), leaving, whole=True)
+                far, self._make_heartbeat([], Activity(), leaving, whole=True)
             )
         heartbeat = self._make_heartbeat(
             self._loads.take_loads(whole=whole),
-            self._loads.take_news(),
+            self._loads.take_activity(),
             leaving,
             whole=whole,
         )
         _send_to_all(near, heartbeat)
-        self._told_revisions = self._exchange.revisions
-        self._told_watching = heartbeat.watching
+        self._sent_revisions = self._exchange.revisions
+        self._sent_watching = heartbeat.watching
 
-    def _hear(self, session: PeerSession, heartbeat: GatewayHeartbeat) -> None:
+    def _take_heartbeat(
+        self, session: PeerSession, heartbeat: GatewayHeartbeat
+    ) -> None:
         session.leaving = heartbeat.leaving
         session.watching = heartbeat.watching
-        session.informed = heartbeat.informed
+        session.knows_caches = heartbeat.knows_caches
         session.reach = heartbeat.reach
-        session.heard_ms = self._clock.now_ms()
-        self._loads.hear(
+        session.last_seen_ms = self._clock.now_ms()
+        self._loads.take_heartbeat(
             session,
             heartbeat.loads,
-            News(sent=heartbeat.sent, outcomes=heartbeat.outcomes),
+            Activity(sent=heartbeat.sent, outcomes=heartbeat.outcomes),
             whole=heartbeat.whole,
         )
         for kind, revision in heartbeat.revisions.items():
             self._exchange.compare(session, kind, revision)
 
-    def _hear_zone(self, session: PeerSession, told: ZoneLoads) -> None:
-        self._loads.hear_zone(session, told, self._sessions.values())
+    def _take_zone(self, session: PeerSession, loads: ZoneLoads) -> None:
+        self._loads.take_zone(session, loads, self._sessions.values())
 
     def _has_new_objects(self) -> bool:
-        return self._told_revisions != self._exchange.revisions
+        return self._sent_revisions != self._exchange.revisions
 
     def _make_heartbeat(
         self,
         loads: list[list[Any]],
-        news: News,
+        activity: Activity,
         leaving: bool,
         *,
         whole: bool,
@@ -218,12 +220,12 @@
         return GatewayHeartbeat(
             revisions=self._exchange.revisions,
             loads=loads,
-            sent=news.sent,
-            outcomes=news.outcomes,
+            sent=activity.sent,
+            outcomes=activity.outcomes,
             leaving=leaving,
             whole=whole,
             watching=self._watches(),
-            informed=self._transfer.informed,
+            knows_caches=self._transfer.knows_caches,
             reach=self._loads.reach(self._sessions.values()),
         )
 
--- a/wingfall/gateway/peers/load_entries.py
+++ b/wingfall/gateway/peers/load_entries.py
@@ -23,7 +23,7 @@
 
 
 @final
-class News:
+class Activity:
     """What has happened since it was last told, as it is on the wire."""
 
     __slots__ = ('outcomes', 'sent')
@@ -34,7 +34,7 @@
         sent: list[list[Any]] | None = None,
         outcomes: list[list[Any]] | None = None,
     ) -> None:
-        """Keep news.
+        """Keep activity.
 
         :param sent: prompts that were sent, as in a heartbeat.
         :param outcomes: how requests ended, as in a heartbeat.
@@ -47,10 +47,10 @@
         """Whether nothing has happened."""
         return not (self.sent or self.outcomes)
 
-    def add(self, other: News) -> None:
-        """Add further news.
+    def add(self, other: Activity) -> None:
+        """Add further activity.
 
-        :param other: the news.
+        :param other: the activity.
         """
         self.sent.extend(other.sent)
         self.outcomes.extend(other.outcomes)
@@ -112,16 +112,16 @@
     return [_read_load(*entry) for entry in raw]
 
 
-def hear_news(news: News, knowledge: EndpointKnowledge) -> None:
+def note_activity(activity: Activity, knowledge: EndpointKnowledge) -> None:
     """Note what has happened at other gateways.
 
-    :param news: the news, as on the wire.
+    :param activity: the activity, as on the wire.
     :param knowledge: where it is noted.
     """
-    for name, failed, served in news.outcomes:
+    for name, failed, served in activity.outcomes:
         outcomes = Outcomes(failed=failed, served=served)
-        knowledge.health.hear(name, outcomes)
-    for endpoint, unread, *parts in news.sent:
+        knowledge.health.take_from_peer(name, outcomes)
+    for endpoint, unread, *parts in activity.sent:
         knowledge.note_prompt_sent(endpoint, unread)
         # The peer sees the first event, but doesn't tell: an estimate.
         ready_ms = knowledge.ready_ms(endpoint) if unread else 0
--- a/wingfall/gateway/peers/load_exchange.py
+++ b/wingfall/gateway/peers/load_exchange.py
@@ -12,14 +12,14 @@
 from typing import TYPE_CHECKING, Any, Final, final
 
 from wingfall.gateway.peers.heartbeat_schedule import (
-    heard_within_ms,
     interval_ms,
+    seen_within_ms,
 )
 from wingfall.gateway.peers.load_entries import (
     IDLE,
-    News,
+    Activity,
     Work,
-    hear_news,
+    note_activity,
     read_loads,
     write_loads,
     write_outcomes,
@@ -50,12 +50,12 @@
         '_clock',
         '_knowledge',
         '_name',
-        '_news',
+        '_activity',
         '_relayed_ms',
         '_relays',
-        '_told',
+        '_last_sent',
         '_zone',
-        '_zones_heard_ms',
+        '_zones_seen_ms',
     )
 
     def __init__(
@@ -78,13 +78,13 @@
         self._clock = clock
         self._knowledge = knowledge
         # What other zones have not heard of.
-        self._news = News()
+        self._activity = Activity()
         # Work that other zones were told of, None if they know of none.
-        self._told: dict[str, Work] | None = None
+        self._last_sent: dict[str, Work] | None = None
         # Whether this gateway speaks for its zone, None until it has peers.
         self._relays: bool | None = None
         self._relayed_ms: float = float('-inf')
-        self._zones_heard_ms: dict[str, int] = {}
+        self._zones_seen_ms: dict[str, int] = {}
 
     def near(self, sessions: Iterable[PeerSession]) -> list[PeerSession]:
         """List the peers of the own availability zone.
@@ -100,9 +100,11 @@
         :param sessions: the connected peers.
         :returns: how many.
         """
-        within_ms = heard_within_ms(len(sessions))
+        within_ms = seen_within_ms(len(sessions))
         oldest_ms = self._clock.now_ms() - within_ms
-        heard = {each.zone for each in sessions if each.heard_ms >= oldest_ms}
+        heard = {
+            each.zone for each in sessions if each.last_seen_ms >= oldest_ms
+        }
         return len(heard - {self._zone})
 
     def own_loads(self) -> list[list[Any]]:
@@ -121,25 +123,25 @@
         changed = self._knowledge.load.take_changed()
         return self.own_loads() if whole else write_loads(changed)
 
-    def take_news(self) -> News:
+    def take_activity(self) -> Activity:
         """Write what has happened and peers have not heard of.
 
         :returns: the entries of a heartbeat.
         """
-        sent = self._knowledge.caches.take_news()
-        outcomes = self._knowledge.health.take_news()
-        news = News(
+        sent = self._knowledge.caches.take_unsent()
+        outcomes = self._knowledge.health.take_unsent()
+        activity = Activity(
             sent=[write_sent(each) for each in sent],
             outcomes=write_outcomes(outcomes),
         )
-        self._news.add(news)
-        return news
+        self._activity.add(activity)
+        return activity
 
-    def hear(
+    def take_heartbeat(
         self,
         session: PeerSession,
         loads: list[list[Any]],
-        news: News,
+        activity: Activity,
         *,
         whole: bool,
     ) -> None:
@@ -147,42 +149,44 @@
 
         :param session: the peer.
         :param loads: its work by endpoint.
-        :param news: what has happened there.
+        :param activity: what has happened there.
         :param whole: whether it has no work at other endpoints.
         """
-        self._knowledge.load.hear(session.name, read_loads(loads), whole=whole)
-        hear_news(news, self._knowledge)
+        self._knowledge.load.take_from_peer(
+            session.name, read_loads(loads), whole=whole
+        )
+        note_activity(activity, self._knowledge)
         if session.zone == self._zone:
-            self._news.add(news)
+            self._activity.add(activity)
 
-    def hear_zone(
+    def take_zone(
         self,
         session: PeerSession,
-        told: ZoneLoads,
+        zone_loads: ZoneLoads,
         sessions: Iterable[PeerSession],
     ) -> None:
         """Take what a relay tells of its zone, and pass it on in this one.
 
         :param session: the relay, or the gateway that passed it on.
-        :param told: the work of a zone.
+        :param zone_loads: the work of a zone.
         :param sessions: the connected peers.
         """
-        if told.zone == self._zone:
+        if zone_loads.zone == self._zone:
             return
-        self._zones_heard_ms[told.zone] = self._clock.now_ms()
-        source = _source(told.zone)
-        self._knowledge.load.hear(
+        self._zones_seen_ms[zone_loads.zone] = self._clock.now_ms()
+        source = _source(zone_loads.zone)
+        self._knowledge.load.take_from_peer(
             source,
-            read_loads(told.loads),
-            whole=told.whole,
+            read_loads(zone_loads.loads),
+            whole=zone_loads.whole,
         )
-        hear_news(
-            News(sent=told.sent, outcomes=told.outcomes),
+        note_activity(
+            Activity(sent=zone_loads.sent, outcomes=zone_loads.outcomes),
             self._knowledge,
         )
-        if session.zone == told.zone:
+        if session.zone == zone_loads.zone:
             for near in self.near(sessions):
-                near.connection.send(told)
+                near.connection.send(zone_loads)
 
     def relay(
         self,
@@ -198,22 +202,22 @@
         now_ms = self._clock.now_ms()
         self._forget_silent_zones(now_ms)
         near = self.near(sessions)
-        heard_since_ms = now_ms - heard_within_ms(len(sessions))
+        seen_since_ms = now_ms - seen_within_ms(len(sessions))
         self._note_relay(
-            find_relay(near, heard_since_ms),
+            find_relay(near, seen_since_ms),
             self.reach(sessions),
         )
         if not self._relays:
-            self._told = None
-            self._news = News()
+            self._last_sent = None
+            self._activity = Activity()
             return
         rested = now_ms - self._relayed_ms >= interval_ms(len(near))
         if not (rested or whole):
             return
         self._relayed_ms = now_ms
-        told = self._take_zone(near, whole=whole)
-        if told is not None:
-            self._send_to_relays(told, sessions, heard_since_ms)
+        zone_loads = self._make_zone_loads(near, whole=whole)
+        if zone_loads is not None:
+            self._send_to_relays(zone_loads, sessions, seen_since_ms)
 
     def _note_relay(self, first: PeerSession | None, reach: int) -> None:
         own = relay_rank(self._name, reach)
@@ -229,18 +233,18 @@
 
     def _send_to_relays(
         self,
-        told: ZoneLoads,
+        zone_loads: ZoneLoads,
         sessions: Collection[PeerSession],
-        heard_since_ms: int,
+        seen_since_ms: int,
     ) -> None:
         zones = {each.zone for each in sessions} - {self._zone}
         for zone in zones:
             there = [each for each in sessions if each.zone == zone]
-            relay = find_relay(there, heard_since_ms)
+            relay = find_relay(there, seen_since_ms)
             if relay is not None:
-                relay.connection.send(told)
+                relay.connection.send(zone_loads)
 
-    def _take_zone(
+    def _make_zone_loads(
         self,
         near: Iterable[PeerSession],
         *,
@@ -248,31 +252,31 @@
     ) -> ZoneLoads | None:
         summed = self._knowledge.load.sum_with(each.name for each in near)
         work = {name: write_work(load) for name, load in summed.items()}
-        whole = whole or self._told is None
-        loads = work if whole else _changes(self._told or {}, work)
-        self._told = work
-        news = self._news
-        self._news = News()
-        if not (whole or loads) and news.empty:
+        whole = whole or self._last_sent is None
+        loads = work if whole else _changes(self._last_sent or {}, work)
+        self._last_sent = work
+        activity = self._activity
+        self._activity = Activity()
+        if not (whole or loads) and activity.empty:
             return None
         return ZoneLoads(
             zone=self._zone,
             loads=[[name, *each] for name, each in loads.items()],
-            sent=news.sent,
+            sent=activity.sent,
             whole=whole,
-            outcomes=news.outcomes,
+            outcomes=activity.outcomes,
         )
 
     def _forget_silent_zones(self, now_ms: int) -> None:
-        for zone, heard_ms in list(self._zones_heard_ms.items()):
-            if now_ms - heard_ms > _ZONE_SILENCE_MS:
-                self._zones_heard_ms.pop(zone)
+        for zone, last_seen_ms in list(self._zones_seen_ms.items()):
+            if now_ms - last_seen_ms > _ZONE_SILENCE_MS:
+                self._zones_seen_ms.pop(zone)
                 self._knowledge.load.forget(_source(zone))
                 log_event(
                     'peers',
                     'A zone has fallen silent; its work is forgotten.',
                     zone=zone,
-                    silent_ms=now_ms - heard_ms,
+                    silent_ms=now_ms - last_seen_ms,
                 )
 
 
--- a/wingfall/gateway/peers/memory_survey.py
+++ b/wingfall/gateway/peers/memory_survey.py
@@ -36,7 +36,7 @@
     from wingfall.gateway.peers.parts_transfer import PartsTransfer
     from wingfall.gateway.state import GatewayState
 
-# What is learned is told to peers: so many gateways ask the same engine.
+# What is learned is answer to peers: so many gateways ask the same engine.
 _ASKED_BY: Final = 2
 # Engines that one gateway asks. Not measured: 25 gateways ask 150 engines
 # twice.
@@ -114,15 +114,15 @@
         ]
 
     def _ask(self, engine: PoolEndpoint) -> None:
-        told = self._exchange(engine).bind(self._state.binding.read_memory)
-        if isinstance(told, Success):
-            self._state.knowledge.caches.learn(engine.name, told.unwrap())
+        answer = self._exchange(engine).bind(self._state.binding.read_memory)
+        if isinstance(answer, Success):
+            self._state.knowledge.caches.learn(engine.name, answer.unwrap())
         log_event(
             'survey',
             'An engine was asked what it keeps.',
             endpoint=engine.name,
-            parts=len(told.value_or(())),
-            reason='' if isinstance(told, Success) else told.failure(),
+            parts=len(answer.value_or(())),
+            reason='' if isinstance(answer, Success) else answer.failure(),
         )
 
     def _exchange(self, engine: PoolEndpoint) -> Result[bytes, str]:
--- a/wingfall/gateway/peers/parts_transfer.py
+++ b/wingfall/gateway/peers/parts_transfer.py
@@ -55,7 +55,7 @@
         '_caches',
         '_clock',
         '_zone',
-        'informed',
+        'knows_caches',
     )
 
     def __init__(
@@ -75,7 +75,7 @@
         self._clock = clock
         self._caches = caches
         # Whether this gateway knows as much as any other.
-        self.informed = False
+        self.knows_caches = False
         self._behind_since_ms = clock.now_ms()
         self._asked: PeerSession | None = None
         self._asked_until_ms = 0
@@ -87,8 +87,8 @@
         :param connected: peers that are connected.
         :param known: peers that are known.
         """
-        if self.informed and connected * 2 < known:
-            self.informed = False
+        if self.knows_caches and connected * 2 < known:
+            self.knows_caches = False
             self._behind_since_ms = self._clock.now_ms()
 
     def step(self, sessions: Collection[PeerSession]) -> None:
@@ -97,7 +97,7 @@
         :param sessions: the connected peers.
         """
         now_ms = self._clock.now_ms()
-        if self.informed or now_ms < self._asked_until_ms:
+        if self.knows_caches or now_ms < self._asked_until_ms:
             return
         behind_ms = now_ms - self._behind_since_ms
         session = self._choose(sessions, near_only=behind_ms < _NEAR_ONLY_MS)
@@ -106,7 +106,7 @@
             self._asked_until_ms = now_ms + self._backoff.take_ms()
             session.connection.send(PartsFetch(most=_MOST_PARTS))
         elif sessions and behind_ms >= _NOBODY_KNOWS_MS:
-            self.informed = True
+            self.knows_caches = True
 
     def answer(self, session: PeerSession, fetch: PartsFetch) -> None:
         """Give a peer what this gateway knows.
@@ -130,7 +130,7 @@
         """
         for endpoint, *parts in page.parts:
             self._caches.find(endpoint).note(read_parts(parts))
-        self.informed = True
+        self.knows_caches = True
         self._backoff.reset()
         log_event(
             'peers',
@@ -148,7 +148,7 @@
         """
         clock = self._clock
         until_ms = clock.now_ms() + timeout_ms
-        while not self.informed:
+        while not self.knows_caches:
             if clock.now_ms() >= max(until_ms, self._asked_until_ms):
                 return False
             gevent.sleep(_TICK_MS / MS_PER_S)
@@ -160,7 +160,7 @@
         *,
         near_only: bool,
     ) -> PeerSession | None:
-        knowing = [session for session in sessions if session.informed]
+        knowing = [session for session in sessions if session.knows_caches]
         near = [each for each in knowing if each.zone == self._zone]
         far = [] if near_only else knowing
         # Another one than last time, if there is one.
--- a/wingfall/gateway/peers/peer_session.py
+++ b/wingfall/gateway/peers/peer_session.py
@@ -24,9 +24,9 @@
         'behind_since_ms',
         'connection',
         'dialed',
-        'heard_ms',
+        'last_seen_ms',
         'incarnation',
-        'informed',
+        'knows_caches',
         'leaving',
         'name',
         'outgoing',
@@ -57,8 +57,8 @@
         self.leaving = False
         self.watching = False
         # Whether the peer knows what engines keep.
-        self.informed = False
-        self.heard_ms = 0
+        self.knows_caches = False
+        self.last_seen_ms = 0
         # How many other zones the peer hears.
         self.reach = 0
         # What the peer is being given, by kind.
--- a/wingfall/gateway/peers/relay_choice.py
+++ b/wingfall/gateway/peers/relay_choice.py
@@ -17,19 +17,19 @@
 
 def find_relay(
     sessions: Iterable[PeerSession],
-    heard_since_ms: int,
+    seen_since_ms: int,
 ) -> PeerSession | None:
     """Find the relay among the gateways of a zone.
 
     :param sessions: sessions with gateways of that zone.
-    :param heard_since_ms: since when a gateway must have been heard.
+    :param seen_since_ms: since when a gateway must have been heard.
     :returns: of those that are heard and stay, and that hear the most other
         zones, the first by rank; None without one.
     """
     heard = [
         session
         for session in sessions
-        if not session.leaving and session.heard_ms >= heard_since_ms
+        if not session.leaving and session.last_seen_ms >= seen_since_ms
     ]
     return min(
         heard,
--- a/wingfall/wire/gateway_messages.py
+++ b/wingfall/wire/gateway_messages.py
@@ -56,7 +56,7 @@
         'leaving',
         'whole',
         'watching',
-        'informed',
+        'knows_caches',
         'outcomes',
         'reach',
     )
@@ -70,7 +70,7 @@
         leaving: bool,
         whole: bool,
         watching: bool,
-        informed: bool = False,
+        knows_caches: bool = False,
         outcomes: list[list[Any]] | None = None,
         reach: int = 0,
     ) -> None:
@@ -87,7 +87,7 @@
         :param whole: whether the loads are all that there are, not only
             those that changed since the last heartbeat.
         :param watching: whether the sender hears the store's changes.
-        :param informed: whether the sender knows what engines keep.
+        :param knows_caches: whether the sender knows what engines keep.
         :param outcomes: how requests ended since the last heartbeat: name of
             the endpoint, how many failed, how many were served.
         :param reach: how many other availability zones the sender hears.
@@ -98,7 +98,7 @@
         self.leaving = leaving
         self.whole = whole
         self.watching = watching
-        self.informed = informed
+        self.knows_caches = knows_caches
         self.outcomes = outcomes or []
         self.reach = reach
 
