--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -104,8 +104,13 @@
         self._peers = GatewayPeers(
             name=settings.name,
             address=settings.peers.listen,
+            zone=settings.zone,
             seeds=settings.peers.seeds,
-            state=self._state,
+            clock=self._clock,
+            metrics=self._metrics,
+            budget=self._state.budget,
+            knowledge=self._state.knowledge,
+            is_stopping=lambda: self._state.draining,
             replicas=self._replicas,
             transfer=self._transfer,
             supervisor=self._supervisor,
@@ -168,7 +173,11 @@
         self._supervisor.spawn(self._start_accepting)
         survey = MemorySurvey(
             name=self._settings.name,
-            state=self._state,
+            clock=self._clock,
+            knowledge=self._state.knowledge,
+            binding=self._state.binding,
+            connections=self._state.connections,
+            routes=lambda: self._state.routes,
             transfer=self._transfer,
             peers=lambda: self._peers.names,
         )
--- a/wingfall/gateway/peers/gateway_peers.py
+++ b/wingfall/gateway/peers/gateway_peers.py
@@ -25,8 +25,11 @@
 from wingfall.gateway.peers.object_exchange import ObjectExchange
 from wingfall.gateway.peers.peer_addresses import PeerAddresses
 from wingfall.gateway.peers.peer_session import PeerSession
-from wingfall.gateway.peers.ranking import rank
-from wingfall.gateway.peers.watch_duty import WATCHERS, WatchDuty
+from wingfall.gateway.peers.watch_duty import (
+    WATCHERS,
+    WatchDuty,
+    peers_before,
+)
 from wingfall.log import log_event
 from wingfall.wire.connection import Connection
 from wingfall.wire.gateway_messages import GatewayHello
@@ -34,9 +37,12 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
+    from wingfall.clock import Clock
     from wingfall.gateway.configuration.replica import ObjectReplica
+    from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
     from wingfall.gateway.peers.parts_transfer import PartsTransfer
-    from wingfall.gateway.state import GatewayState
+    from wingfall.gateway.rules.retry_budget import RetryBudget
+    from wingfall.metrics import Metrics
     from wingfall.supervisor import Supervisor
     from wingfall.wire.message import Message
 
@@ -55,15 +61,18 @@
     __slots__ = (
         '_address',
         '_addresses',
+        '_budget',
+        '_clock',
         '_heartbeats',
         '_incarnation',
+        '_metrics',
         '_name',
         '_server',
         '_sessions',
-        '_state',
         '_supervisor',
         '_transfer',
         '_watch_duty',
+        '_zone',
     )
 
     def __init__(
@@ -71,45 +80,58 @@
         *,
         name: str,
         address: str,
+        zone: str,
         seeds: Iterable[str],
-        state: GatewayState,
+        clock: Clock,
+        metrics: Metrics,
+        budget: RetryBudget,
+        knowledge: EndpointKnowledge,
         replicas: Iterable[ObjectReplica],
         transfer: PartsTransfer,
         supervisor: Supervisor,
         watches: Callable[[], bool],
+        is_stopping: Callable[[], bool],
     ) -> None:
         """Bind the address.
 
         :param name: name of this gateway.
         :param address: ``host:port`` for peers.
+        :param zone: its availability zone.
         :param seeds: addresses that some gateways may be found at.
-        :param state: what this gateway knows.
+        :param clock: the time.
+        :param metrics: where connected peers are counted.
+        :param budget: the retry budget that peers share.
+        :param knowledge: what this gateway knows of endpoints.
         :param replicas: the objects that gateways give each other.
         :param transfer: learns what engines keep from a peer.
         :param supervisor: keeps the connections.
         :param watches: whether this gateway hears the store's changes.
+        :param is_stopping: whether a planned stop has begun.
         """
         self._name = name
         self._incarnation = random.getrandbits(_INCARNATION_BITS)
-        self._state = state
+        self._zone = zone
+        self._clock = clock
+        self._metrics = metrics
+        self._budget = budget
         self._transfer = transfer
         self._supervisor = supervisor
         self._sessions: dict[str, PeerSession] = {}
         self._watch_duty = WatchDuty()
         self._heartbeats = Heartbeats(
             name=name,
-            zone=state.zone,
-            clock=state.clock,
-            knowledge=state.knowledge,
+            zone=zone,
+            clock=clock,
+            knowledge=knowledge,
             sessions=self._sessions,
             exchange=ObjectExchange(
                 replicas=replicas,
-                clock=state.clock,
-                zone=state.zone,
+                clock=clock,
+                zone=zone,
             ),
             transfer=transfer,
             watches=watches,
-            is_stopping=lambda: state.draining,
+            is_stopping=is_stopping,
         )
         host, _colon, port = address.rpartition(':')
         self._server = StreamServer((host, int(port)), self._accept)
@@ -135,14 +157,14 @@
         isn't heard for a moment is replaced by the next.
         """
         # Who watches is heard each second, however many gateways there are.
-        before = self._before(seen_within_ms(1))
-        return self._watch_duty.holds(before, self._state.clock.now_ms())
+        before = self._peers_before(seen_within_ms(1))
+        return self._watch_duty.holds(before, self._clock.now_ms())
 
     @property
     def leads(self) -> bool:
         """Whether this gateway shall be among the first to ask a lost store."""
         within_ms = seen_within_ms(len(self._sessions))
-        return len(self._before(within_ms)) < WATCHERS
+        return len(self._peers_before(within_ms)) < WATCHERS
 
     def start(self) -> None:
         """Accept and connect from now on."""
@@ -169,17 +191,10 @@
         for session in list(self._sessions.values()):
             session.connection.close()
 
-    def _before(self, within_ms: int) -> list[PeerSession]:
-        # Peers that are heard and stand before this gateway, by their names.
-        oldest_ms = self._state.clock.now_ms() - within_ms
-        own_rank = rank(self._name)
-        return [
-            session
-            for session in self._sessions.values()
-            if not session.leaving
-            and session.last_seen_ms >= oldest_ms
-            and rank(session.name) < own_rank
-        ]
+    def _peers_before(self, within_ms: int) -> list[PeerSession]:
+        seen_since_ms = self._clock.now_ms() - within_ms
+        sessions = self._sessions.values()
+        return peers_before(self._name, sessions, seen_since_ms)
 
     def _dial_forever(self) -> None:
         while not self._supervisor.stopped:
@@ -272,9 +287,9 @@
 
     def _share_budget(self) -> None:
         # Those that can't be reached may still send, with the same slack.
-        self._state.metrics.links.set({}, len(self._sessions))
+        self._metrics.links.set({}, len(self._sessions))
         known = max(len(self._sessions), self._addresses.count)
-        self._state.budget.share_among(known + 1)
+        self._budget.share_among(known + 1)
 
     def _send_heartbeats(self) -> None:
         while not self._supervisor.stopped:
@@ -286,7 +301,7 @@
             name=self._name,
             address=self._address,
             known=self._addresses.name_some(),
-            zone=self._state.zone,
+            zone=self._zone,
             incarnation=self._incarnation,
         )
 
--- a/wingfall/gateway/peers/memory_survey.py
+++ b/wingfall/gateway/peers/memory_survey.py
@@ -29,14 +29,18 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
+    from wingfall.clock import Clock
     from wingfall.gateway.endpoints.endpoint_connection import (
         EndpointConnection,
     )
+    from wingfall.gateway.endpoints.kept_connections import KeptConnections
+    from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
+    from wingfall.gateway.model.binding import Binding
     from wingfall.gateway.model.pool_endpoint import PoolEndpoint
+    from wingfall.gateway.model.routes import Routes
     from wingfall.gateway.peers.parts_transfer import PartsTransfer
-    from wingfall.gateway.state import GatewayState
 
-# What is learned is answer to peers: so many gateways ask the same engine.
+# What is learned is told to peers: so many gateways ask the same engine.
 _ASKED_BY: Final = 2
 # Engines that one gateway asks. Not measured: 25 gateways ask 150 engines
 # twice.
@@ -63,25 +67,46 @@
 class MemorySurvey:
     """Asks engines that ran before this gateway started."""
 
-    __slots__ = ('_name', '_peers', '_state', '_transfer')
+    __slots__ = (
+        '_binding',
+        '_clock',
+        '_connections',
+        '_knowledge',
+        '_name',
+        '_peers',
+        '_routes',
+        '_transfer',
+    )
 
     def __init__(
         self,
         *,
         name: str,
-        state: GatewayState,
+        clock: Clock,
+        knowledge: EndpointKnowledge,
+        binding: Binding,
+        connections: KeptConnections,
+        routes: Callable[[], Routes | None],
         transfer: PartsTransfer,
         peers: Callable[[], Iterable[str]],
     ) -> None:
         """Set up a survey.
 
         :param name: name of this gateway.
-        :param state: where what is learned is kept.
+        :param clock: the time.
+        :param knowledge: where what is learned is kept.
+        :param binding: translates the question and the answer.
+        :param connections: connections to engines.
+        :param routes: gives the configuration in force.
         :param transfer: what a peer tells makes the survey needless.
         :param peers: names of the connected peers.
         """
         self._name = name
-        self._state = state
+        self._clock = clock
+        self._knowledge = knowledge
+        self._binding = binding
+        self._connections = connections
+        self._routes = routes
         self._transfer = transfer
         self._peers = peers
 
@@ -96,27 +121,27 @@
         asking.join()
 
     def _wait_for_engines(self) -> list[PoolEndpoint]:
-        clock = self._state.clock
+        clock = self._clock
         until_ms = clock.now_ms() + _FIRST_LIST_MS
         while not self._engines() and clock.now_ms() < until_ms:
             gevent.sleep(_POLL_MS / MS_PER_S)
         return self._engines()
 
     def _engines(self) -> list[PoolEndpoint]:
-        routes = self._state.routes
+        routes = self._routes()
         if routes is None:
             return []
         return [
             endpoint
             for pool in routes.pools.values()
             if pool.memory_tokens
-            for endpoint in self._state.knowledge.table.usable(pool.name)
+            for endpoint in self._knowledge.table.usable(pool.name)
         ]
 
     def _ask(self, engine: PoolEndpoint) -> None:
-        answer = self._exchange(engine).bind(self._state.binding.read_memory)
+        answer = self._exchange(engine).bind(self._binding.read_memory)
         if isinstance(answer, Success):
-            self._state.knowledge.caches.learn(engine.name, answer.unwrap())
+            self._knowledge.caches.learn(engine.name, answer.unwrap())
         log_event(
             'survey',
             'An engine was asked what it keeps.',
@@ -126,7 +151,7 @@
         )
 
     def _exchange(self, engine: PoolEndpoint) -> Result[bytes, str]:
-        connections = self._state.connections
+        connections = self._connections
         connection = None
         try:
             connection = connections.take(
@@ -147,13 +172,13 @@
         engine: PoolEndpoint,
         connection: EndpointConnection,
     ) -> Result[bytes, str]:
-        target, headers = self._state.binding.memory_request(engine)
+        target, headers = self._binding.memory_request(engine)
         connection.send(b'GET', target, headers, b'')
-        until_ms = self._state.clock.now_ms() + _ANSWER_MS
+        until_ms = self._clock.now_ms() + _ANSWER_MS
         response = connection.receive(_ANSWER_MS)
         body = b''
         while True:
-            event = connection.receive(until_ms - self._state.clock.now_ms())
+            event = connection.receive(until_ms - self._clock.now_ms())
             if isinstance(event, h11.EndOfMessage):
                 break
             body += bytes(event.data)
--- a/wingfall/gateway/peers/watch_duty.py
+++ b/wingfall/gateway/peers/watch_duty.py
@@ -8,8 +8,10 @@
 
 from typing import TYPE_CHECKING, Final, final
 
+from wingfall.gateway.peers.ranking import rank
+
 if TYPE_CHECKING:
-    from collections.abc import Collection
+    from collections.abc import Collection, Iterable
 
     from wingfall.gateway.peers.peer_session import PeerSession
 
@@ -51,3 +53,25 @@
             self._short_since_ms = now_ms
         waves = 1 + (now_ms - self._short_since_ms) // _WAVE_MS
         return len(before) < WATCHERS * 2**waves
+
+
+def peers_before(
+    name: str,
+    sessions: Iterable[PeerSession],
+    seen_since_ms: int,
+) -> list[PeerSession]:
+    """List the peers that stand before a gateway in the order of all.
+
+    :param name: name of the gateway.
+    :param sessions: its connected peers.
+    :param seen_since_ms: since when a peer must have been seen.
+    :returns: those that were seen, stay, and come first.
+    """
+    own_rank = rank(name)
+    return [
+        session
+        for session in sessions
+        if not session.leaving
+        and session.last_seen_ms >= seen_since_ms
+        and rank(session.name) < own_rank
+    ]
