--- a/tests/test_call_rules.py
+++ b/tests/test_call_rules.py
@@ -20,9 +20,12 @@
 from wingfall.gateway.calls.dispatcher import Dispatch
 from wingfall.gateway.model.attempt_end import AttemptEnd
 from wingfall.gateway.model.pool_endpoint import PoolEndpoint
+from wingfall.gateway.model.routes import WeightedPool
 from wingfall.gateway.rules.candidate import Candidate, Demand
 from wingfall.gateway.rules.early_refusal import StartEstimate, admit_by_target
 from wingfall.gateway.rules.placement import place_by_reading
+from wingfall.gateway.rules.planned_stop import StopSchedule
+from wingfall.gateway.rules.pool_choice import pick_pool
 from wingfall.gateway.rules.refusals import (
     refuse_after,
     refuse_early,
@@ -302,3 +305,29 @@
     odd = [make_endpoint('x', draining=True), make_endpoint('y', pool='q')]
     names = {each.name for each in narrowed(endpoints, odd)}
     assert not names & {'x', 'y'}
+
+
+@pytest.mark.parametrize(
+    ('weights', 'drawn'),
+    [([0], {0}), ([0, 0], {0}), ([0, 1], {1}), ([1, 1], {0, 1})],
+)
+def test_pools_are_drawn_by_weight(weights: list[int], drawn: set[int]):
+    pools = [
+        WeightedPool(pool=str(number), weight=weight)
+        for number, weight in enumerate(weights)
+    ]
+    seen = {int(pick_pool(pools)) for _draw in range(200)}
+    assert seen == drawn
+
+
+@pytest.mark.parametrize(
+    ('stop_s', 'serve_ms', 'end_ms'),
+    [(8, 2600, 7300), (3.3, 2600, 2600), (1, 300, 300)],
+)
+def test_planned_stop_serves_first_and_ends_in_time(
+    stop_s: float,
+    serve_ms: int,
+    end_ms: int,
+):
+    schedule = StopSchedule(stop_s=stop_s)
+    assert (schedule.serve_ms, schedule.end_ms) == (serve_ms, end_ms)
