--- a/tests/test_call_rules.py
+++ b/tests/test_call_rules.py
@@ -309,7 +309,12 @@
 
 @pytest.mark.parametrize(
     ('weights', 'drawn'),
-    [([0], {0}), ([0, 0], {0}), ([0, 1], {1}), ([1, 1], {0, 1})],
+    [
+        ([0], {0}),
+        ([0, 0], {0}),
+        ([0, 1], {1}),
+        ([1, 1], {0, 1}),
+    ],
 )
 def test_pools_are_drawn_by_weight(weights: list[int], drawn: set[int]):
     pools = [
