--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -6,6 +6,8 @@
 import graphlib
 import pathlib
 
+import pytest
+
 ROOT = pathlib.Path(__file__).parent.parent
 
 
@@ -106,3 +108,16 @@
         if name.startswith('wingfall.gateway')
     }
     assert {name.split('.')[2] for name in needed} == {'model'}
+
+
+@pytest.mark.parametrize(
+    'package', ['peers', 'rules', 'knowledge', 'endpoints']
+)
+def test_only_calls_and_the_configuration_take_the_whole_state(package: str):
+    folder = ROOT / 'wingfall' / 'gateway' / package
+    taking = [
+        path.name
+        for path in folder.glob('*.py')
+        if 'wingfall.gateway.state' in imported(path)
+    ]
+    assert not taking
--- a/wingfall/cmd/explain.py
+++ b/wingfall/cmd/explain.py
@@ -7,8 +7,8 @@
 from wingfall.cmd.operator import EXIT_DONE, open_platform, refuse, say
 from wingfall.config.copy import ConfigCopy
 from wingfall.decision.classify import check_class, select_class
+from wingfall.objects.eligibility import why_not
 from wingfall.objects.selector import parse_labels
-from wingfall.router.eligibility import why_not
 
 
 def run(
--- a/wingfall/router/request.py
+++ b/wingfall/router/request.py
@@ -5,7 +5,7 @@
 import hashlib
 from typing import TYPE_CHECKING, final
 
-from wingfall.router.eligibility import why_not
+from wingfall.objects.eligibility import why_not
 from wingfall.router.homes import home_name
 
 if TYPE_CHECKING:
