--- a/wingfall/gateway/calls/reply.py
+++ b/wingfall/gateway/calls/reply.py
@@ -16,7 +16,7 @@
 
     from wingfall.gateway.model.call import Headers
 
-# Reason phrases that are written; callers of the platform read no others.
+# Reason phrases that are written; all other statuses go without one.
 _REASONS: Final = {
     status: status.phrase.encode()
     for status in (
