--- a/wingfall/gateway/rules/placement/engine_classes.py
+++ b/wingfall/gateway/rules/placement/engine_classes.py
@@ -1,8 +1,8 @@
-"""Quick engines of a pool, usual and slow ones, and their gaps beside reads.
+"""Speed classes of engines and their token gaps during prefills.
 
-All gateways should agree on the classes although what they know differs a
-little: only what is clearly apart is told apart, and an engine stays in its
-class until it is clearly out of it.
+All gateways should agree on the classes although their measurements differ a
+little: only engines of clearly unlike speed are put into different classes, and
+an engine stays in its class until it is clearly outside.
 """
 
 from __future__ import annotations
@@ -15,35 +15,34 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping, Sequence
 
-# Classes of engines, in the order in which streams with short gaps take them.
+# Engine classes, in the order in which streams with short token gaps use them.
 _QUICK: Final = 0
 _USUAL: Final = 1
 _SLOW: Final = 2
-# Engines whose gaps beside reads are so many times shorter than the median are
-# quick ones, those whose gaps are so many times longer are slow ones. What two
-# gateways take for an engine's gaps differs by less, so that they seldom put it
-# into unlike classes.
-_APART: Final = 1.4
-# An engine stays in its class until it is nearer to the median than this.
-_STILL_APART: Final = 1.25
-# Part of the streams whose longest gap must be within the bound before reads
-# beside them count as harmless: one in ten may meet a slow spell of its engine.
-_IN_BOUND_PART: Final = 0.9
-# Times the bound at which reads count as harmless no longer: by as much do the
-# gaps of an engine differ from one time to the next.
-_STILL_FIT: Final = 1.15
-# Part of the bound within which gaps beside reads at slower engines must be:
-# their streams could go to quicker ones, and a slow spell makes gaps longer by
-# half and more.
-_CLEARLY_FIT: Final = 0.7
-# Longest gaps that must be known of a class of engines. Of fewer, one odd
-# stream would be what the quantile above takes.
-_NEEDED_GAPS: Final = 12
+# Ratio to the median token gap during prefills from which an engine is quick
+# (shorter gaps) or slow (longer gaps). The estimates of two gateways for one
+# engine differ by less, so they seldom put it into different classes.
+_ENTER_RATIO: Final = 1.4
+# Ratio to the median below which an engine leaves its quick or slow class.
+_KEEP_RATIO: Final = 1.25
+# Fraction of streams whose longest token gap must be within the bound before
+# prefills count as harmless: one in ten may meet a slow period of its engine.
+_IN_BOUND_FRACTION: Final = 0.9
+# Factor of the bound above which prefills stop counting as harmless: the token
+# gaps of an engine vary by as much over time.
+_STAY_FIT_FACTOR: Final = 1.15
+# Factor of the bound within which token gaps of slower classes must be: their
+# streams could go to quicker engines, and a slow period lengthens gaps by half
+# or more.
+_SLOWER_CLASS_FACTOR: Final = 0.7
+# Minimum number of token gap samples of a class. With fewer, a single outlier
+# would determine the quantile.
+_MIN_GAP_SAMPLES: Final = 12
 
 
 @final
 class PoolEngine:
-    """What is known of one engine."""
+    """The speed, slots and token gaps of one engine."""
 
     __slots__ = ('full_gaps_ms', 'name', 'rate', 'slots', 'typical_gap_ms')
 
@@ -56,15 +55,15 @@
         full_gaps_ms: Sequence[int] = (),
         typical_gap_ms: float | None = None,
     ) -> None:
-        """Describe an engine.
-
-        :param name: its name.
-        :param rate: tokens that it reads in a millisecond.
-        :param slots: requests that it runs at once.
-        :param full_gaps_ms: the longest gaps of its last streams beside reads
-            that never ended, in milliseconds.
-        :param typical_gap_ms: one of them that tells the engine's speed, None
-            if too few were seen.
+        """Initialize the data of an engine.
+
+        :param name: name of the engine.
+        :param rate: prefill rate in tokens per millisecond.
+        :param slots: number of requests that it runs at once.
+        :param full_gaps_ms: longest token gaps of its recent streams under
+            uninterrupted prefills, in milliseconds.
+        :param typical_gap_ms: the one of these gaps that represents the speed
+            of the engine, None if there are too few samples.
         """
         self.name = name
         self.rate = rate
@@ -77,94 +76,96 @@
     engines: Sequence[PoolEngine],
     classes: Mapping[str, int],
 ) -> dict[str, int]:
-    """Tell quick engines, usual ones and slow ones apart.
+    """Classify engines as quick, usual or slow by their token gaps.
 
-    By their gaps beside reads. An engine of which too little is seen stays
-    what it was, a usual one at first.
+    An engine with too few samples keeps its class, which is usual at first.
 
-    :param engines: the engines.
-    :param classes: their classes by the last decision.
-    :returns: 0, 1 or 2 for each engine by name.
+    :param engines: engines to classify.
+    :param classes: classes of the last decision by engine name.
+    :returns: 0 for quick, 1 for usual, 2 for slow, by engine name.
     """
     gaps = [each.typical_gap_ms for each in engines]
-    seen = [gap_ms for gap_ms in gaps if gap_ms]
-    median_ms = statistics.median(seen) if seen else 0
-    found = {}
+    samples = [gap_ms for gap_ms in gaps if gap_ms]
+    median_ms = statistics.median(samples) if samples else 0
+    updated = {}
     for engine in engines:
-        known = classes.get(engine.name, _USUAL)
+        previous = classes.get(engine.name, _USUAL)
         gap_ms = engine.typical_gap_ms
-        found[engine.name] = (
-            _class_rate(median_ms / gap_ms, known) if gap_ms else known
+        updated[engine.name] = (
+            _classify_ratio(median_ms / gap_ms, previous)
+            if gap_ms
+            else previous
         )
-    return found
+    return updated
 
 
 def class_gaps(
     engines: Iterable[PoolEngine],
     classes: Mapping[str, int],
 ) -> dict[int, float]:
-    """Tell how long gaps beside reads are in each class of engines.
+    """Estimate the token gaps during prefills of each engine class.
 
-    A class of which too little is known has the gaps of the nearest one that is
-    known, longer by as much as its engines are slower.
+    A class with too few samples takes the gap of the nearest class that has
+    enough, scaled by the ratio of their prefill rates.
 
-    :param engines: the engines.
-    :param classes: their classes.
-    :returns: milliseconds by class, nothing if no class is known.
+    :param engines: engines of all classes.
+    :param classes: class by engine name.
+    :returns: token gap in milliseconds by class, empty if no class has enough
+        samples.
     """
     members: dict[int, list[PoolEngine]] = {}
     for engine in engines:
         members.setdefault(classes[engine.name], []).append(engine)
-    known = {}
-    for number, same in members.items():
-        gap_ms = _seen_gap(same)
+    tokens = {}
+    for number, group in members.items():
+        gap_ms = _find_gap_ms(group)
         if gap_ms is not None:
-            # What an engine gets through between two events.
-            known[number] = gap_ms * _median_rate(same)
-    if not known:
+            # Tokens that an engine prefills between two events.
+            tokens[number] = gap_ms * _median_rate(group)
+    if not tokens:
         return {}
     return {
-        number: _nearest(known, number) / _median_rate(same)
-        for number, same in members.items()
+        number: _find_nearest(tokens, number) / _median_rate(group)
+        for number, group in members.items()
     }
 
 
-def _class_rate(ratio: float, known: int) -> int:
-    quick_from = _STILL_APART if known == _QUICK else _APART
-    slow_from = _STILL_APART if known == _SLOW else _APART
-    if ratio >= quick_from:
+def _classify_ratio(ratio: float, previous: int) -> int:
+    quick_ratio = _KEEP_RATIO if previous == _QUICK else _ENTER_RATIO
+    slow_ratio = _KEEP_RATIO if previous == _SLOW else _ENTER_RATIO
+    if ratio >= quick_ratio:
         return _QUICK
-    return _SLOW if ratio <= 1 / slow_from else _USUAL
+    return _SLOW if ratio <= 1 / slow_ratio else _USUAL
 
 
 def _median_rate(engines: Iterable[PoolEngine]) -> float:
     return statistics.median(each.rate for each in engines)
 
 
-def _nearest(known: Mapping[int, float], number: int) -> float:
-    return known[min(known, key=lambda other: abs(other - number))]
+def _find_nearest(tokens: Mapping[int, float], number: int) -> float:
+    return tokens[min(tokens, key=lambda other: abs(other - number))]
 
 
-def _seen_gap(engines: Iterable[PoolEngine]) -> float | None:
+def _find_gap_ms(engines: Iterable[PoolEngine]) -> float | None:
     gaps = [gap_ms for each in engines for gap_ms in each.full_gaps_ms]
-    if len(gaps) < _NEEDED_GAPS:
+    if len(gaps) < _MIN_GAP_SAMPLES:
         return None
-    return quantile(gaps, _IN_BOUND_PART)
+    return quantile(gaps, _IN_BOUND_FRACTION)
 
 
-def count_fit(gaps: Mapping[int, float], gap_ms: int, known: int) -> int:
-    """Count the classes in which reads are harmless to a stream.
+def count_fit(gaps: Mapping[int, float], gap_ms: int, previous: int) -> int:
+    """Count the classes that keep a token gap bound during prefills.
 
-    :param gaps: gaps beside reads by class.
-    :param gap_ms: the longest gap in milliseconds that the stream bears.
-    :param known: how many there were by the last decision.
-    :returns: how many, the quickest first.
+    :param gaps: token gap during prefills in milliseconds by class.
+    :param gap_ms: token gap bound of the stream in milliseconds.
+    :param previous: number of such classes in the last decision.
+    :returns: number of such classes, counted from the quickest.
     """
     count = 0
     for number in sorted(gaps):
-        bound_ms = gap_ms * _CLEARLY_FIT if count else gap_ms
-        if count < known:
-            bound_ms *= _STILL_FIT
+        bound_ms = gap_ms * _SLOWER_CLASS_FACTOR if count else gap_ms
+        if count < previous:
+            bound_ms *= _STAY_FIT_FACTOR
         if gaps[number] > bound_ms:
             break
         count += 1
--- a/wingfall/gateway/rules/placement/engine_groups.py
+++ b/wingfall/gateway/rules/placement/engine_groups.py
@@ -1,9 +1,9 @@
-"""Which engines of a pool are for streams that bear only short gaps.
+"""Policies that reserve engines of a pool for streams with short token gaps.
 
-Answers a pool that reads long prompts beside streams whose token gaps must be
-short: while an engine reads, all its streams pause, and the longer the slower
-it reads. Streams go first to the engines that keep their gaps also beside
-reads; where these are too few, further ones are closed to long reads.
+Long prefills share the pool with streams that need short token gaps: during a
+prefill all streams of the engine pause, longer at slower engines. Such streams
+go primarily to the engines that keep the token gap bound also during prefills;
+where these are too few, further engines are closed to long prefills.
 """
 
 from __future__ import annotations
@@ -23,32 +23,32 @@
 
     from wingfall.gateway.rules.placement.engine_classes import PoolEngine
 
-# Part of an engine's slots for streams with short gaps beside long reads. Each
-# stream makes the steps longer, those of reads too, and an engine that keeps a
-# gap beside reads may keep it by little.
-_BESIDE_PART: Final = 0.35
-# Part of its slots if it takes no long reads and its gaps beside them are just
-# as long as its streams bear; less by as much as they are longer. Its steps are
-# longer with each stream and with the short prompts that it reads.
-_CLOSED_PART: Final = 0.6
-_MOST_CLOSED_PART: Final = 0.7
-# Times the streams that run which engines are kept for: a burst that doubles in
-# two seconds grows by a tenth until all gateways know of it.
-_RESERVE: Final = 1.1
-# Engines in all of which nothing is kept: with one or two for long reads alone
-# a loss of one would leave none.
-_FEW_ENGINES: Final = 3
-# Part of the engines that must be in the first class: fewer would be filled at
-# once, and among engines that are alike a few always seem quicker.
-_FIRST_CLASS_PART: Final = 0.125
-# Part of what a pool reads that may be given up for short gaps: callers of long
-# prompts wait for the rest.
-_GIVEN_UP_PART: Final = 0.5
+# Fraction of an engine's slots for short-gap streams beside long prefills. Each
+# stream makes the steps longer, those of prefills too, and an engine that keeps
+# the bound during prefills may keep it by little.
+_OPEN_SLOT_FRACTION: Final = 0.35
+# Fraction of the slots of an engine that is closed to long prefills and whose
+# token gaps during these equal the bound; scaled down as they exceed it. Each
+# stream and each prefill of a short prompt makes its steps longer.
+_CLOSED_SLOT_FRACTION: Final = 0.6
+_MAX_CLOSED_SLOT_FRACTION: Final = 0.7
+# Factor of the running streams for which engines are reserved: a burst that
+# doubles in two seconds grows by a tenth until all gateways know of it.
+_STREAM_HEADROOM_FACTOR: Final = 1.1
+# Pool size up to which no engine is reserved: with only one or two engines for
+# long prefills, the loss of one could leave none.
+_SMALL_POOL_ENGINES: Final = 3
+# Minimum fraction of the engines in the quickest class: fewer would fill up at
+# once, and among equal engines a few always seem quicker.
+_MIN_QUICKEST_FRACTION: Final = 0.125
+# Maximum fraction of a pool's prefill rate that may be closed to long prefills:
+# callers of long prompts wait for the rest.
+_MAX_CLOSED_RATE_FRACTION: Final = 0.5
 
 
 @final
 class PoolState:
-    """What is known of a pool when its engines are parted."""
+    """The state of a pool from which its engines are grouped."""
 
     __slots__ = (
         'classes',
@@ -69,17 +69,17 @@
         classes: Mapping[str, int],
         fit: Mapping[int, int],
     ) -> None:
-        """Describe a pool.
-
-        :param name: its name.
-        :param engines: its engines that take new work.
-        :param gap_bounds_ms: the longest token gaps that the streams of its
-            routes bear, ascending, each once.
-        :param streams: how many streams of short prompts run in the pool, by
-            all gateways, that bear which gap.
-        :param classes: the classes of its engines by the last decision.
-        :param fit: for each gap, in how many classes reads were harmless by the
-            last decision.
+        """Initialize the state of a pool.
+
+        :param name: name of the pool.
+        :param engines: engines of the pool that take new work.
+        :param gap_bounds_ms: token gap bounds of its routes in milliseconds,
+            ascending, without duplicates.
+        :param streams: number of running streams of short prompts, of all
+            gateways, by token gap bound.
+        :param classes: classes of the last decision by engine name.
+        :param fit: number of classes that kept the bound during prefills in the
+            last decision, by token gap bound.
         """
         self.name = name
         self.engines = engines
@@ -91,9 +91,9 @@
 
 @final
 class Parting:
-    """How the engines of a pool should be parted.
+    """How the engines of a pool should be grouped.
 
-    The streams that bear a gap go to the first engines of one order.
+    Streams with a token gap bound go to the head of one order of engines.
     """
 
     __slots__ = (
@@ -115,17 +115,18 @@
         closed: Mapping[int, int],
         most_closed: int,
     ) -> None:
-        """Keep a decision.
-
-        :param order: the engines, those for the shortest gaps first.
-        :param classes: 0 for quick engines, 1 for usual, 2 for slow ones.
-        :param fit: for each gap, in how many classes reads are harmless.
-        :param fit_engines: for each gap, how many engines of the order keep it
-            beside reads.
-        :param closed: for each gap, how many engines of the order should take
-            no long reads for the streams that bear it or less.
-        :param most_closed: how many may be, so that enough is left to read
-            with.
+        """Initialize a grouping.
+
+        :param order: engine names, ordered from the shortest token gaps.
+        :param classes: 0 for quick, 1 for usual, 2 for slow engines, by name.
+        :param fit: number of classes that keep the bound during prefills, by
+            token gap bound.
+        :param fit_engines: number of engines of the order that keep the bound
+            during prefills, by token gap bound.
+        :param closed: number of engines of the order to close to long prefills
+            for the streams with this or a shorter bound, by token gap bound.
+        :param most_closed: maximum number of closed engines, so that enough
+            prefill rate remains.
         """
         self.order = order
         self.most_closed = most_closed
@@ -141,38 +142,38 @@
 
 @engine_groups.register('none')
 def keep_none(pool: PoolState) -> None:
-    """Part no pool, as the baseline.
+    """Reserve no engines, as the baseline.
 
-    :param pool: the pool, which doesn't matter.
+    :param pool: state of the pool, not used.
     """
 
 
 @engine_groups.register('by_gap')
 def part_by_gap(pool: PoolState) -> Parting | None:
-    """Part a pool by the gaps that its streams bear.
+    """Group the engines of a pool by the token gap bounds of its streams.
 
-    :param pool: the pool.
-    :returns: the engines for each gap; None where all are for all: in a small
-        pool, with one kind of stream, where nothing is known of gaps beside
-        reads, where engines are alike, or where reads are harmless to all
-        streams, or harmful to all of a kind.
+    :param pool: state of the pool.
+    :returns: the engines for each bound; None where all engines serve all
+        streams: in a small pool, with a single bound, without token gap
+        samples, with engines of equal speed, or where for each bound either
+        all engines keep it during prefills or none does.
     """
-    if len(pool.engines) <= _FEW_ENGINES or len(pool.gap_bounds_ms) < 2:
+    if len(pool.engines) <= _SMALL_POOL_ENGINES or len(pool.gap_bounds_ms) < 2:
         return None
     classes = class_engines(pool.engines, pool.classes)
     gaps = class_gaps(pool.engines, classes)
-    if not gaps or not _differ(classes):
+    if not gaps or not _is_separable(classes):
         return None
     engines = sorted(
         pool.engines,
-        key=lambda each: (classes[each.name], _rank(pool.name, each.name)),
+        key=lambda each: (classes[each.name], _hash_rank(pool.name, each.name)),
     )
     fit = {
         gap_ms: count_fit(gaps, gap_ms, pool.fit.get(gap_ms, 0))
         for gap_ms in pool.gap_bounds_ms
     }
     fit_engines = {
-        gap_ms: _count_engines(classes, sorted(gaps)[:count])
+        gap_ms: _count_members(classes, sorted(gaps)[:count])
         for gap_ms, count in fit.items()
     }
     if all(count in {0, len(engines)} for count in fit_engines.values()):
@@ -183,35 +184,35 @@
         classes=classes,
         fit=fit,
         fit_engines=fit_engines,
-        closed=_count_all_closed(pool, engines, fit_engines, full_gaps_ms),
-        most_closed=_count_most_closed(engines),
+        closed=_count_closed_by_bound(pool, engines, fit_engines, full_gaps_ms),
+        most_closed=_count_max_closed(engines),
     )
 
 
-def _differ(classes: Mapping[str, int]) -> bool:
+def _is_separable(classes: Mapping[str, int]) -> bool:
     numbers = list(classes.values())
-    first = numbers.count(min(numbers))
-    return len(numbers) * _FIRST_CLASS_PART <= first < len(numbers)
+    first_count = numbers.count(min(numbers))
+    return len(numbers) * _MIN_QUICKEST_FRACTION <= first_count < len(numbers)
 
 
-def _count_most_closed(engines: Sequence[PoolEngine]) -> int:
-    left = _GIVEN_UP_PART * sum(each.rate for each in engines)
+def _count_max_closed(engines: Sequence[PoolEngine]) -> int:
+    rate_budget = _MAX_CLOSED_RATE_FRACTION * sum(each.rate for each in engines)
     for count, engine in enumerate(engines):
-        left -= engine.rate
-        if left < 0:
+        rate_budget -= engine.rate
+        if rate_budget < 0:
             return count
     return len(engines)
 
 
-def _rank(pool: str, engine: str) -> bytes:
+def _hash_rank(pool: str, engine: str) -> bytes:
     return hashlib.blake2b(f'{pool}/{engine}'.encode(), digest_size=8).digest()
 
 
-def _count_engines(classes: Mapping[str, int], chosen: Sequence[int]) -> int:
-    return sum(number in chosen for number in classes.values())
+def _count_members(classes: Mapping[str, int], numbers: Sequence[int]) -> int:
+    return sum(number in numbers for number in classes.values())
 
 
-def _count_all_closed(
+def _count_closed_by_bound(
     pool: PoolState,
     engines: Sequence[PoolEngine],
     fit_engines: Mapping[int, int],
@@ -224,8 +225,8 @@
         closed[gap_ms] = _count_closed(
             engines,
             fit_engines[gap_ms],
-            [_closed_part(full_ms, gap_ms) for full_ms in full_gaps_ms],
-            streams * _RESERVE,
+            [_scale_closed_fraction(each, gap_ms) for each in full_gaps_ms],
+            streams * _STREAM_HEADROOM_FACTOR,
         )
     return closed
 
@@ -233,29 +234,33 @@
 def _count_closed(
     engines: Sequence[PoolEngine],
     fit: int,
-    parts: Sequence[float],
+    fractions: Sequence[float],
     streams: float,
 ) -> int:
-    """Count the engines that must be closed for some streams.
+    """Count the engines to close to long prefills for some streams.
 
-    :param engines: the engines in order.
-    :param fit: how many of them keep the gap beside reads.
-    :param parts: for each the part of its slots that it bears if closed.
-    :param streams: how many streams there are.
-    :returns: how many, the first of the order.
+    :param engines: engines in order.
+    :param fit: number of engines that keep the bound during prefills.
+    :param fractions: usable fraction of the slots of each engine if closed.
+    :param streams: number of streams, with headroom.
+    :returns: number of engines to close, from the head of the order.
     """
     if not fit:
         return 0
-    beside = [each.slots * _BESIDE_PART for each in engines[:fit]]
-    borne = sum(beside)
-    left = _GIVEN_UP_PART * sum(each.rate for each in engines)
+    open_capacity = [each.slots * _OPEN_SLOT_FRACTION for each in engines[:fit]]
+    capacity = sum(open_capacity)
+    rate_budget = _MAX_CLOSED_RATE_FRACTION * sum(each.rate for each in engines)
     for count, engine in enumerate(engines):
-        left -= engine.rate
-        if borne >= streams or left < 0:
+        rate_budget -= engine.rate
+        if capacity >= streams or rate_budget < 0:
             return count
-        borne += engine.slots * parts[count] - sum(beside[count : count + 1])
+        capacity += engine.slots * fractions[count] - sum(
+            open_capacity[count : count + 1]
+        )
     return len(engines)
 
 
-def _closed_part(full_gap_ms: float, gap_ms: int) -> float:
-    return min(_MOST_CLOSED_PART, _CLOSED_PART * gap_ms / full_gap_ms)
+def _scale_closed_fraction(full_gap_ms: float, gap_ms: int) -> float:
+    return min(
+        _MAX_CLOSED_SLOT_FRACTION, _CLOSED_SLOT_FRACTION * gap_ms / full_gap_ms
+    )
