--- a/wingfall/gateway/rules/placement/gap_group.py
+++ b/wingfall/gateway/rules/placement/gap_group.py
@@ -1,4 +1,4 @@
-"""The engines that streams with one bound of their gaps go to."""
+"""The engines for streams with one token gap bound."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
     from wingfall.gateway.rules.placement.engine_groups import Parting
     from wingfall.metrics import Metrics
 
-# Milliseconds between two lines of the log about one group.
-_LOG_MS: Final = 1000
-# Names of engines that a line of the log holds.
-_MOST_NAMED: Final = 8
+# Minimum time between two log lines about one group.
+_LOG_INTERVAL_MS: Final = 1000
+# Maximum number of engine names in a log line.
+_MAX_LOGGED_ENGINES: Final = 8
 
 
 @final
 class GapGroup:
-    """A group as it is now."""
+    """The current engines for streams with one token gap bound."""
 
     __slots__ = (
-        '_logged',
+        '_logged_counts',
         '_logged_ms',
         '_metrics',
-        '_needed',
+        '_closed_needed',
         '_pool',
         '_size',
         'closed',
@@ -44,103 +44,107 @@
         gap_ms: int,
         metrics: Metrics | None = None,
     ) -> None:
-        """Start without an engine.
+        """Create an empty group.
 
         :param pool: name of the pool.
-        :param gap_ms: the longest gap that its streams bear.
-        :param metrics: counts changes, if given.
+        :param gap_ms: token gap bound of the streams in milliseconds.
+        :param metrics: metrics that count the changes, if given.
         """
         self._pool = pool
         self._metrics = metrics
         self._size = GroupSize()
-        self._needed = 0
+        self._closed_needed = 0
         self.gap_ms = gap_ms
-        # Where its streams go; those of them that keep the gap beside reads;
-        # those that are closed to long reads.
+        # All engines of the group; those that keep the bound during prefills;
+        # those that are closed to long prefills.
         self.engines: frozenset[str] = frozenset()
         self.fit: frozenset[str] = frozenset()
         self.closed: frozenset[str] = frozenset()
-        # Those of them with room for another stream.
+        # Engines of the group with free capacity for a stream.
         self.room: frozenset[str] = frozenset()
-        # How many engines and closed ones were logged last, and when.
-        self._logged = (0, 0)
-        self._logged_ms = -_LOG_MS
+        # Counts of fit and closed engines in the last log line, and its time.
+        self._logged_counts = (0, 0)
+        self._logged_ms = -_LOG_INTERVAL_MS
 
     def follow(self, parting: Parting, now_ms: int, *, held: bool) -> None:
-        """Go one engine towards what a decision says.
+        """Move the group by one closed engine towards a grouping.
 
-        :param parting: the decision.
-        :param now_ms: the time.
-        :param held: whether the number of closed engines stays as it is.
+        :param parting: the grouping that should be reached.
+        :param now_ms: the current time in milliseconds.
+        :param held: whether the number of closed engines must not change.
         """
         fit = parting.fit_engines.get(self.gap_ms, 0)
-        self._needed = parting.closed.get(self.gap_ms, 0)
-        if not held and self._size.follow(self._needed, now_ms):
-            self._count('moved')
+        self._closed_needed = parting.closed.get(self.gap_ms, 0)
+        if not held and self._size.follow(self._closed_needed, now_ms):
+            self._count_decision('moved')
         self.fit = frozenset(parting.order[:fit])
-        # Of a pool that has shrunk fewer may be closed at once.
+        # After a pool has shrunk, the lower maximum applies at once.
         closed = min(self._size.engines, parting.most_closed)
         self.closed = frozenset(parting.order[:closed])
         self.engines = self.fit | self.closed
 
     def show(self) -> dict[str, Any]:
-        """Show the group.
+        """Return the status of the group.
 
-        :returns: its engines, and how many more are needed or too many.
+        :returns: names of all engines and of closed engines, and the number of
+            closed engines that is required.
         """
         return {
             'engines': sorted(self.engines),
             'closed': sorted(self.closed),
-            'closed_needed': self._needed,
+            'closed_needed': self._closed_needed,
         }
 
     def log_change(self, streams: Mapping[int, int], now_ms: int) -> None:
-        """Log how many engines there are if that has changed.
+        """Log the numbers of engines if they have changed.
 
-        :param streams: streams of short prompts by the gap that they bear.
-        :param now_ms: the time.
+        :param streams: streams of short prompts by token gap bound.
+        :param now_ms: the current time in milliseconds.
         """
-        now = (len(self.fit), len(self.closed))
-        if now == self._logged or now_ms - self._logged_ms < _LOG_MS:
+        counts = (len(self.fit), len(self.closed))
+        if (
+            counts == self._logged_counts
+            or now_ms - self._logged_ms < _LOG_INTERVAL_MS
+        ):
             return
         log_event(
             'groups',
             'The engines for short gaps have changed.',
             pool=self._pool,
             gap_ms=self.gap_ms,
-            fit=now[0],
-            closed=now[1],
-            before=list(self._logged),
-            closed_needed=self._needed,
+            fit=counts[0],
+            closed=counts[1],
+            before=list(self._logged_counts),
+            closed_needed=self._closed_needed,
             streams=sum(
                 count
                 for gap_ms, count in streams.items()
                 if gap_ms <= self.gap_ms
             ),
-            engines=sorted(self.engines)[:_MOST_NAMED],
-            why=_explain(self._logged, now),
+            engines=sorted(self.engines)[:_MAX_LOGGED_ENGINES],
+            why=_explain_change(self._logged_counts, counts),
         )
-        self._logged = now
+        self._logged_counts = counts
         self._logged_ms = now_ms
 
     def log_end(self) -> None:
-        """Log that all engines are for all streams."""
-        if self._logged != (0, 0):
+        """Log that the group has ended."""
+        if self._logged_counts != (0, 0):
             log_event(
                 'groups',
                 'No engines are kept for short gaps any more.',
                 pool=self._pool,
                 gap_ms=self.gap_ms,
-                before=list(self._logged),
+                before=list(self._logged_counts),
             )
-        self._count('ended')
+        self._count_decision('ended')
 
-    def _count(self, reason: str) -> None:
+    def _count_decision(self, reason: str) -> None:
         if self._metrics is not None:
             self._metrics.decisions.inc({'part': 'groups', 'reason': reason})
 
 
-def _explain(before: tuple[int, int], now: tuple[int, int]) -> str:
-    if before[0] != now[0]:
+def _explain_change(before: tuple[int, int], counts: tuple[int, int]) -> str:
+    if before[0] != counts[0]:
         return 'gaps beside reads'
-    return 'more streams' if now[1] > before[1] else 'fewer streams'
+    return 'more streams' if counts[1] > before[1] else 'fewer streams'
--- a/wingfall/gateway/rules/placement/group_size.py
+++ b/wingfall/gateway/rules/placement/group_size.py
@@ -1,60 +1,63 @@
-"""How many engines a group has: moves by one engine, and not too often."""
+"""Size of an engine group, changed by one engine at a limited rate."""
 
 from __future__ import annotations
 
 from typing import Final, final
 
-# Milliseconds between two engines that a group takes. A burst hurts its callers
-# at once: an engine takes half a hundred streams, so that a group follows some
-# hundred more a second.
-_GROW_MS: Final = 250
-# Milliseconds for which a group must have been too large before it gives an
-# engine up: as long as short answers take, since a burst comes in waves. What
-# its engines cache is worth something.
-_ENOUGH_MS: Final = 2000
-# Milliseconds between two engines that a group gives up.
-_SHRINK_MS: Final = 500
+# Minimum time between adding two engines to a group. A burst affects callers at
+# once. An engine takes about 50 streams, so a group follows an increase of some
+# hundred streams a second.
+_GROW_INTERVAL_MS: Final = 250
+# Time for which a group must have been too large before it releases an engine:
+# the duration of short answers, because a burst comes in waves. The prefix
+# caches of its engines are worth keeping, too.
+_SHRINK_DELAY_MS: Final = 2000
+# Minimum time between releasing two engines of a group.
+_SHRINK_INTERVAL_MS: Final = 500
 
 
 @final
 class GroupSize:
-    """The number of engines of one group."""
+    """The number of engines in one group."""
 
-    __slots__ = ('_changed_ms', '_enough_ms', 'engines')
+    __slots__ = ('_resized_ms', '_oversized_since_ms', 'engines')
 
     def __init__(self) -> None:
-        """Start without an engine."""
+        """Initialize the size to zero."""
         self.engines = 0
-        self._changed_ms = -_GROW_MS
-        # Since when fewer would do, None if they would not.
-        self._enough_ms: int | None = None
+        self._resized_ms = -_GROW_INTERVAL_MS
+        # Since when fewer engines suffice; None if they do not.
+        self._oversized_since_ms: int | None = None
 
-    def follow(self, needed: int, now_ms: int) -> bool:
-        """Go one engine towards what is needed, if it is time.
+    def follow(self, required: int, now_ms: int) -> bool:
+        """Change the size by one engine towards the required size, if due.
 
-        :param needed: how many engines are needed.
-        :param now_ms: the time.
-        :returns: whether the size has changed.
+        :param required: number of engines required.
+        :param now_ms: the current time in milliseconds.
+        :returns: True if the size has changed.
         """
-        if needed >= self.engines:
-            self._enough_ms = None
-        elif self._enough_ms is None:
-            self._enough_ms = now_ms
-        if needed > self.engines and now_ms - self._changed_ms >= _GROW_MS:
-            self._change(1, now_ms)
+        if required >= self.engines:
+            self._oversized_since_ms = None
+        elif self._oversized_since_ms is None:
+            self._oversized_since_ms = now_ms
+        if (
+            required > self.engines
+            and now_ms - self._resized_ms >= _GROW_INTERVAL_MS
+        ):
+            self._resize(1, now_ms)
             return True
-        if self._may_shrink(now_ms):
-            self._change(-1, now_ms)
+        if self._can_shrink(now_ms):
+            self._resize(-1, now_ms)
             return True
         return False
 
-    def _may_shrink(self, now_ms: int) -> bool:
-        since_ms = self._enough_ms
+    def _can_shrink(self, now_ms: int) -> bool:
+        since_ms = self._oversized_since_ms
         if since_ms is None:
             return False
-        waited = now_ms - since_ms >= _ENOUGH_MS
-        return waited and now_ms - self._changed_ms >= _SHRINK_MS
+        is_due = now_ms - since_ms >= _SHRINK_DELAY_MS
+        return is_due and now_ms - self._resized_ms >= _SHRINK_INTERVAL_MS
 
-    def _change(self, engines: int, now_ms: int) -> None:
-        self.engines += engines
-        self._changed_ms = now_ms
+    def _resize(self, change: int, now_ms: int) -> None:
+        self.engines += change
+        self._resized_ms = now_ms
--- a/wingfall/gateway/rules/placement/pool_groups.py
+++ b/wingfall/gateway/rules/placement/pool_groups.py
@@ -1,6 +1,6 @@
-"""The groups of one pool: puts to the rule what is known, keeps what it says.
+"""The engine groups of one pool, as decided by the group policy.
 
-Which engines have room is worked out some times a second, not for each prompt.
+Engines with free capacity are found a few times a second, not for each prompt.
 """
 
 from __future__ import annotations
@@ -25,37 +25,38 @@
     )
     from wingfall.metrics import Metrics
 
-# Part of the engines whose loss at once stops all moves: the streams of those
-# that went are sent again, so that what runs tells nothing for a while.
-_LOST_PART: Final = 0.25
-# Milliseconds for which nothing moves after such a loss: until the streams that
-# were sent again have ended, and new engines are listed.
-_HOLD_MS: Final = 5000
+# Fraction of the engines whose loss at once stops all group changes: streams of
+# the lost engines are sent again, which distorts the load for a while.
+_ENGINE_LOSS_FRACTION: Final = 0.25
+# Time without group changes after such a loss: until the resent streams have
+# ended and new engines are listed.
+_LOSS_FREEZE_MS: Final = 5000
 
 
-# Engines with room that are enough to choose among: what runs at them was
-# looked at a moment ago; a crowd of prompts would all go to the last one.
-_FEWEST_WEIGHED: Final = 3
+# Minimum number of engines with free capacity to choose among: their loads are
+# those of the last snapshot, and a burst of prompts would all go to the last
+# remaining engine.
+_MIN_CANDIDATE_ENGINES: Final = 3
 
 
 @final
 class PoolGroups:
-    """The groups of one pool as they are now."""
+    """The current engine groups of one pool."""
 
     __slots__ = (
         '_classes',
         '_closed',
         '_fit',
         '_groups',
-        '_held_until_ms',
-        '_kinds',
+        '_frozen_until_ms',
+        '_prompt_lengths',
         '_knowledge',
-        '_listed',
-        '_look',
+        '_engine_count',
+        '_snapshot',
         '_metrics',
-        '_parts_pool',
+        '_group_policy',
         '_pool',
-        '_safe_gaps',
+        '_safe_gaps_ms',
         'reviewed_ms',
     )
 
@@ -67,75 +68,75 @@
         parts_pool: EngineGroups,
         metrics: Metrics | None,
     ) -> None:
-        """Start without a group.
+        """Create a pool without groups.
 
         :param pool: name of the pool.
-        :param knowledge: what is known of the engines.
-        :param parts_pool: decides which engines are kept.
-        :param metrics: counts changes, if given.
+        :param knowledge: loads, rates and token gaps of the engines.
+        :param parts_pool: policy that decides which engines are reserved.
+        :param metrics: metrics that count the changes, if given.
         """
         self._pool = pool
         self._knowledge = knowledge
-        self._parts_pool = parts_pool
+        self._group_policy = parts_pool
         self._metrics = metrics
-        self._kinds = PromptKinds()
-        self._look = PoolLook(usable=(), knowledge=knowledge)
-        # When the pool was looked at last, by the clock; None if never.
+        self._prompt_lengths = PromptKinds()
+        self._snapshot = PoolLook(usable=(), knowledge=knowledge)
+        # Clock time of the last update; None before the first one.
         self.reviewed_ms: int | None = None
         self._groups: dict[int, GapGroup] = {}
-        # What the rule said last.
+        # Classes and fit counts of the last decision.
         self._classes: dict[str, int] = {}
         self._fit: dict[int, int] = {}
-        # Engines that take no long reads.
+        # Engines closed to long prefills.
         self._closed: frozenset[str] = frozenset()
-        # The shortest gap that streams bear beside reads, by engine.
-        self._safe_gaps: dict[str, int] = {}
-        # How many engines there were, and until when nothing moves.
-        self._listed = 0
-        self._held_until_ms = 0
+        # Shortest token gap bound kept during prefills, by engine.
+        self._safe_gaps_ms: dict[str, int] = {}
+        # Engines at the last update, and the end of the pause after a loss.
+        self._engine_count = 0
+        self._frozen_until_ms = 0
 
     def note_prompt(self, demand: Demand) -> None:
-        """Learn how long the prompts of each kind are.
+        """Record the length of a prompt.
 
-        :param demand: what a prompt asks.
+        :param demand: the demand of the prompt.
         """
-        self._kinds.note(demand)
+        self._prompt_lengths.note(demand)
 
     def narrow(
         self,
         demand: Demand,
         usable: list[PoolEndpoint],
     ) -> list[PoolEndpoint]:
-        """Leave out engines that a prompt should not go to.
+        """Return the engines that a prompt may go to.
 
-        :param demand: what the prompt asks.
+        :param demand: the demand of the prompt.
         :param usable: engines of the pool that take new work.
-        :returns: those that it may go to, all where none is kept.
+        :returns: the allowed engines, all if none is reserved.
         """
         if not self._groups:
             return usable
         group = self._groups.get(demand.gap_target_ms or 0)
-        if group is None or self._kinds.is_long(demand):
-            return self._list_open(demand, usable)
-        for room in (group.room & group.fit, group.room):
-            chosen = [each for each in usable if each.name in room]
-            if len(chosen) >= _FEWEST_WEIGHED:
-                return chosen
+        if group is None or self._prompt_lengths.is_long(demand):
+            return self._list_open_engines(demand, usable)
+        for names in (group.room & group.fit, group.room):
+            candidates = [each for each in usable if each.name in names]
+            if len(candidates) >= _MIN_CANDIDATE_ENGINES:
+                return candidates
         return usable
 
     def safe_gap_ms(self, engine: str) -> int | None:
-        """Tell beside which streams reads at an engine are harmless.
+        """Return the shortest token gap bound that an engine keeps.
 
-        :param engine: its name.
-        :returns: the shortest gap in milliseconds that streams there may bear;
-            None if it is not known.
+        :param engine: name of the engine.
+        :returns: shortest bound in milliseconds that its streams keep during
+            prefills; None if it is unknown.
         """
-        return self._safe_gaps.get(engine)
+        return self._safe_gaps_ms.get(engine)
 
     def show(self) -> dict[str, Any]:
-        """Show the groups.
+        """Return the status of the groups.
 
-        :returns: for each gap what :class:`GapGroup` shows.
+        :returns: status of each :class:`GapGroup` by token gap bound.
         """
         return {
             str(gap_ms): group.show() for gap_ms, group in self._groups.items()
@@ -147,109 +148,116 @@
         usable: Sequence[PoolEndpoint],
         now_ms: int,
     ) -> None:
-        """Look at the pool, and move each group by one engine at most.
+        """Update the groups, adding or releasing at most one engine each.
 
-        :param routes: the configuration in force.
+        :param routes: current configuration of the routes.
         :param usable: engines of the pool that take new work.
-        :param now_ms: the time.
+        :param now_ms: the current time in milliseconds.
         """
         self.reviewed_ms = now_ms
-        self._note_loss(len(usable), now_ms)
-        self._look = PoolLook(usable=usable, knowledge=self._knowledge)
-        state = self._describe(routes)
-        parting = self._parts_pool(state)
+        self._freeze_after_loss(len(usable), now_ms)
+        self._snapshot = PoolLook(usable=usable, knowledge=self._knowledge)
+        state = self._build_state(routes)
+        parting = self._group_policy(state)
         if parting is None:
             self.forget_groups()
         else:
-            self._move_groups(parting, now_ms)
+            self._update_groups(parting, now_ms)
             for group in self._groups.values():
                 group.log_change(state.streams, now_ms)
 
     def forget_groups(self) -> None:
-        """Let all engines be for all streams."""
+        """Remove all groups, so that all engines serve all streams."""
         if not self._groups:
             return
         for group in self._groups.values():
             group.log_end()
-        # Reads count as harmless until gaps are clearly too long again.
-        classes = len(set(self._classes.values()))
-        self._fit = dict.fromkeys(self._groups, classes)
+        # Prefills count as harmless until gaps are clearly too long again.
+        class_count = len(set(self._classes.values()))
+        self._fit = dict.fromkeys(self._groups, class_count)
         self._groups = {}
-        self._safe_gaps = {}
+        self._safe_gaps_ms = {}
         self._closed = frozenset()
 
-    def _describe(self, routes: Routes) -> PoolState:
+    def _build_state(self, routes: Routes) -> PoolState:
         # Engines are closed only for streams of short prompts, and only while
-        # others bring long ones.
+        # long prompts arrive.
         streams = {}
-        if self._look.reads_long:
-            streams = self._look.count_streams(self._kinds.is_short)
+        if self._snapshot.reads_long:
+            streams = self._snapshot.count_streams(
+                self._prompt_lengths.is_short
+            )
         return PoolState(
             name=self._pool,
-            engines=list(self._look.engines.values()),
-            gap_bounds_ms=_list_bounds(routes, self._pool),
+            engines=list(self._snapshot.engines.values()),
+            gap_bounds_ms=_list_gap_bounds(routes, self._pool),
             streams=streams,
             classes=self._classes,
             fit=self._fit,
         )
 
-    def _note_loss(self, listed: int, now_ms: int) -> None:
-        if listed <= self._listed * (1 - _LOST_PART):
-            self._held_until_ms = now_ms + _HOLD_MS
-        self._listed = listed
+    def _freeze_after_loss(self, engine_count: int, now_ms: int) -> None:
+        if engine_count <= self._engine_count * (1 - _ENGINE_LOSS_FRACTION):
+            self._frozen_until_ms = now_ms + _LOSS_FREEZE_MS
+        self._engine_count = engine_count
 
-    def _move_groups(self, parting: Parting, now_ms: int) -> None:
+    def _update_groups(self, parting: Parting, now_ms: int) -> None:
         self._classes = dict(parting.classes)
         self._fit = dict(parting.fit)
-        held = now_ms < self._held_until_ms
+        is_frozen = now_ms < self._frozen_until_ms
         for gap_ms in parting.fit:
             if gap_ms not in self._groups:
                 self._groups[gap_ms] = GapGroup(
                     pool=self._pool, gap_ms=gap_ms, metrics=self._metrics
                 )
-        for gone in self._groups.keys() - parting.fit.keys():
-            self._groups.pop(gone).log_end()
+        for ended_gap_ms in self._groups.keys() - parting.fit.keys():
+            self._groups.pop(ended_gap_ms).log_end()
         for group in self._groups.values():
-            group.follow(parting, now_ms, held=held)
-        self._note_engines()
+            group.follow(parting, now_ms, held=is_frozen)
+        self._update_engine_sets()
 
-    def _note_engines(self) -> None:
+    def _update_engine_sets(self) -> None:
         groups = self._groups.values()
         self._closed = frozenset().union(*(each.closed for each in groups))
-        self._safe_gaps = {}
+        self._safe_gaps_ms = {}
         for gap_ms in sorted(self._groups, reverse=True):
             fit = self._groups[gap_ms].fit
-            self._safe_gaps.update(dict.fromkeys(fit, gap_ms))
+            self._safe_gaps_ms.update(dict.fromkeys(fit, gap_ms))
         for group in groups:
             group.room = frozenset(
                 name
                 for name in group.engines
-                if self._look.has_room(name, self._closed)
+                if self._snapshot.has_room(name, self._closed)
             )
 
-    def _list_open(
+    def _list_open_engines(
         self,
         demand: Demand,
         usable: list[PoolEndpoint],
     ) -> list[PoolEndpoint]:
         if not self._closed:
             return usable
-        listed = [each for each in usable if each.name not in self._closed]
-        if any(self._look.begins_in_time(each.name, demand) for each in listed):
-            return listed
-        is_short = self._kinds.is_short
+        open_engines = [
+            each for each in usable if each.name not in self._closed
+        ]
+        if any(
+            self._snapshot.begins_in_time(each.name, demand)
+            for each in open_engines
+        ):
+            return open_engines
+        is_short = self._prompt_lengths.is_short
         return [
             each
             for each in usable
             if each.name not in self._closed
-            or not self._look.runs_any(each.name, is_short)
+            or not self._snapshot.runs_any(each.name, is_short)
         ] or usable
 
 
-def _list_bounds(routes: Routes, pool: str) -> list[int]:
-    bounds = {
+def _list_gap_bounds(routes: Routes, pool: str) -> list[int]:
+    bounds_ms = {
         route.target.token_gap_ms
         for route in routes.routes
         if any(entry.pool == pool for entry in route.pools)
     }
-    return sorted(gap_ms for gap_ms in bounds if gap_ms)
+    return sorted(gap_ms for gap_ms in bounds_ms if gap_ms)
--- a/wingfall/gateway/rules/placement/pool_look.py
+++ b/wingfall/gateway/rules/placement/pool_look.py
@@ -1,4 +1,4 @@
-"""What a look at a pool shows: the load and speed of each of its engines."""
+"""A snapshot of a pool: the load and prefill rate of each engine."""
 
 from __future__ import annotations
 
@@ -14,19 +14,20 @@
     from wingfall.gateway.model.pool_endpoint import PoolEndpoint
     from wingfall.gateway.rules.placement.candidate import Demand
 
-# Part of the time to a first event that may go by before a long read begins at
-# an engine, so that what other gateways send meanwhile makes it late seldom.
-_START_PART: Final = 0.75
-# Part of an engine's slots up to which it takes streams of its group: beside
-# long reads with the streams of these, which make its steps longer too; and if
-# it takes no long reads.
-_FULL_PART: Final = 0.45
-_CLOSED_FULL_PART: Final = 0.75
+# Share of the target time to first event within which an engine must end a long
+# prefill, so that requests that other gateways send meanwhile seldom make it
+# late.
+_START_TARGET_FRACTION: Final = 0.75
+# Share of an engine's slots up to which it takes streams of its group: beside
+# long prefills, whose own streams make its steps longer too; and if closed to
+# long prefills.
+_OPEN_SLOT_FRACTION: Final = 0.45
+_CLOSED_SLOT_FRACTION: Final = 0.75
 
 
 @final
 class PoolLook:
-    """The engines of a pool at one moment."""
+    """The engines of a pool and their loads at one moment."""
 
     __slots__ = ('_loads', '_slots', 'engines', 'reads_long')
 
@@ -36,74 +37,78 @@
         usable: Sequence[PoolEndpoint],
         knowledge: EndpointKnowledge,
     ) -> None:
-        """Look at a pool.
+        """Create a snapshot of a pool.
 
-        :param usable: its engines that take new work.
-        :param knowledge: what is known of them.
+        :param usable: engines of the pool that take new work.
+        :param knowledge: loads, rates and token gaps of the engines.
         """
         self.engines = {
-            each.name: _describe(each, knowledge) for each in usable
+            each.name: _build_engine(each, knowledge) for each in usable
         }
         self._slots = {each.name: each.slots for each in usable}
         self._loads = {
             each.name: knowledge.load.total(each.name) for each in usable
         }
-        recent = sum(map(knowledge.long_reads.tokens, self.engines))
-        # Whether long prompts have come lately.
-        self.reads_long = recent >= SHORT_READ_TOKENS
+        recent_tokens = sum(map(knowledge.long_reads.tokens, self.engines))
+        # Whether long prompts arrived recently.
+        self.reads_long = recent_tokens >= SHORT_READ_TOKENS
 
-    def count_streams(self, counts: Callable[[int], bool]) -> dict[int, int]:
-        """Count the streams of some kinds.
+    def count_streams(
+        self, is_counted: Callable[[int], bool]
+    ) -> dict[int, int]:
+        """Count streams by their token gap bound.
 
-        :param counts: whether streams that bear a gap count.
-        :returns: how many bear which gap.
+        :param is_counted: whether streams with a token gap bound are counted.
+        :returns: number of streams by token gap bound in milliseconds.
         """
         streams: dict[int, int] = {}
         for load in self._loads.values():
             for gap_ms, count in load.streams.items():
-                if counts(gap_ms):
+                if is_counted(gap_ms):
                     streams[gap_ms] = streams.get(gap_ms, 0) + count
         return streams
 
-    def runs_any(self, engine: str, counts: Callable[[int], bool]) -> bool:
-        """Tell whether streams of some kinds run at an engine.
+    def runs_any(self, engine: str, is_counted: Callable[[int], bool]) -> bool:
+        """Check if streams with certain token gap bounds run at an engine.
 
-        :param engine: its name.
-        :param counts: whether streams that bear a gap count.
-        :returns: whether one of them does.
+        :param engine: name of the engine.
+        :param is_counted: whether streams with a token gap bound are counted.
+        :returns: True if at least one such stream runs.
         """
         load = self._loads.get(engine)
-        return load is not None and any(map(counts, load.streams))
+        return load is not None and any(map(is_counted, load.streams))
 
     def has_room(self, engine: str, closed: Collection[str]) -> bool:
-        """Tell whether an engine takes another stream of its group.
+        """Check if an engine takes another stream of its group.
 
-        :param engine: its name.
-        :param closed: engines that take no long reads.
-        :returns: whether it has room.
+        :param engine: name of the engine.
+        :param closed: names of engines that are closed to long prefills.
+        :returns: True if the engine has free capacity.
         """
         load = self._loads.get(engine)
         if load is None:
             return False
-        part = _CLOSED_FULL_PART if engine in closed else _FULL_PART
-        return load.running < self._slots[engine] * part
+        fraction = (
+            _CLOSED_SLOT_FRACTION if engine in closed else _OPEN_SLOT_FRACTION
+        )
+        return load.running < self._slots[engine] * fraction
 
     def begins_in_time(self, engine: str, demand: Demand) -> bool:
-        """Tell whether an engine would begin a prompt in time.
+        """Check if an engine would begin the output of a prompt in time.
 
-        :param engine: its name.
-        :param demand: what the prompt asks.
-        :returns: whether it would; an engine that is new would.
+        :param engine: name of the engine.
+        :param demand: the demand of the prompt.
+        :returns: True if it would, also for an engine outside the snapshot.
         """
         load = self._loads.get(engine)
         if load is None or demand.start_target_ms is None:
             return True
         rate = self.engines[engine].rate
         start_ms = (load.reading_tokens + demand.tokens) / rate
-        return start_ms <= demand.start_target_ms * _START_PART
+        return start_ms <= demand.start_target_ms * _START_TARGET_FRACTION
 
 
-def _describe(
+def _build_engine(
     endpoint: PoolEndpoint,
     knowledge: EndpointKnowledge,
 ) -> PoolEngine:
--- a/wingfall/gateway/rules/placement/prompt_kinds.py
+++ b/wingfall/gateway/rules/placement/prompt_kinds.py
@@ -1,4 +1,4 @@
-"""How long the prompts of each kind are, a kind being those with one gap."""
+"""Mean prompt lengths by token gap target."""
 
 from __future__ import annotations
 
@@ -9,49 +9,51 @@
 if TYPE_CHECKING:
     from wingfall.gateway.rules.placement.candidate import Demand
 
-# Part of a new prompt's length in the mean of its kind. Fifty prompts tell what
-# is asked.
-_LENGTH_WEIGHT: Final = 0.05
+# Weight of a new prompt's length in the moving average, which about fifty
+# prompts determine.
+_NEW_LENGTH_WEIGHT: Final = 0.05
 
 
 @final
 class PromptKinds:
-    """The mean length of the prompts whose streams bear a gap."""
+    """The mean length of the prompts of each token gap target."""
 
-    __slots__ = ('_lengths',)
+    __slots__ = ('_mean_tokens',)
 
     def __init__(self) -> None:
-        """Start without a prompt."""
-        # Tokens by the gap in milliseconds.
-        self._lengths: dict[int, float] = {}
+        """Create an empty record."""
+        # Mean tokens by the token gap target in milliseconds.
+        self._mean_tokens: dict[int, float] = {}
 
     def note(self, demand: Demand) -> None:
-        """Learn from a prompt.
+        """Record the length of a prompt.
 
-        :param demand: what it asks.
+        :param demand: the demand of the prompt.
         """
         gap_ms = demand.gap_target_ms
         if gap_ms is not None:
-            mean = self._lengths.get(gap_ms, demand.tokens)
-            mean += (demand.tokens - mean) * _LENGTH_WEIGHT
-            self._lengths[gap_ms] = mean
+            mean = self._mean_tokens.get(gap_ms, demand.tokens)
+            mean += (demand.tokens - mean) * _NEW_LENGTH_WEIGHT
+            self._mean_tokens[gap_ms] = mean
 
     def is_short(self, gap_ms: int) -> bool:
-        """Tell whether the prompts of a kind are short.
+        """Check if the prompts with a token gap target are short.
 
-        :param gap_ms: the longest gap that its streams bear.
-        :returns: whether they are, False if there was none.
+        :param gap_ms: the token gap target in milliseconds.
+        :returns: True if their mean length is short, False if unknown.
         """
-        return 0 < self._lengths.get(gap_ms, 0) <= SHORT_PROMPT_TOKENS
+        return 0 < self._mean_tokens.get(gap_ms, 0) <= SHORT_PROMPT_TOKENS
 
     def is_long(self, demand: Demand) -> bool:
-        """Tell whether a prompt goes where long ones go.
+        """Check if a prompt is placed as a long prompt.
 
-        Prompts of one kind go one way: a short one among long ones is read
-        with many others, and a long one among short ones is seldom.
+        Prompts with one token gap target are placed alike: a short prompt
+        among long ones is prefilled with many others, and a long prompt among
+        short ones is rare.
 
-        :param demand: what it asks.
-        :returns: whether its kind is long; by itself where it bears any gap.
+        :param demand: the demand of the prompt.
+        :returns: True if the prompts with its token gap target are long; a
+            prompt without a target is judged by its own length.
         """
         if demand.gap_target_ms is None:
             return demand.tokens > SHORT_PROMPT_TOKENS
