--- a/wingfall/gateway/rules/placement/kept_engines.py
+++ b/wingfall/gateway/rules/placement/kept_engines.py
@@ -1,9 +1,9 @@
-"""The engines of each pool that streams with short gaps go to.
+"""Engines of each pool that are reserved for streams with short token gaps.
 
-Owns the groups that there are now, and
-:mod:`wingfall.gateway.rules.placement.engine_groups` decides which there should
-be. Nothing is told to other gateways: all have the
-same order of engines and hear of the same streams.
+This module owns the current groups;
+:mod:`wingfall.gateway.rules.placement.engine_groups` decides which groups
+should exist. Nothing is reported to other gateways: all have the same order of
+engines and know of the same streams.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
     from wingfall.gateway.rules.placement.engine_groups import EngineGroups
     from wingfall.metrics import Metrics
 
-# Milliseconds between two looks at a pool: loads of other gateways are told as
-# often. And milliseconds for each of its engines, so that the looks at a large
-# pool take less than a two-hundredth of the time.
-_REVIEW_MS: Final = 250
-_REVIEW_MS_PER_ENGINE: Final = 2
+# Minimum time between two updates of a pool: other gateways report their loads
+# as often. The time per engine keeps the updates of a large pool below a
+# two-hundredth of the time.
+_UPDATE_INTERVAL_MS: Final = 250
+_UPDATE_INTERVAL_MS_PER_ENGINE: Final = 2
 
 
 @final
 class KeptEngines:
-    """Tells which engines of a pool a prompt may go to."""
+    """The reserved engines of all pools."""
 
-    __slots__ = ('_clock', '_knowledge', '_metrics', '_parts_pool', '_pools')
+    __slots__ = ('_clock', '_knowledge', '_metrics', '_group_policy', '_pools')
 
     def __init__(
         self,
@@ -43,16 +43,16 @@
         parts_pool: EngineGroups,
         metrics: Metrics | None = None,
     ) -> None:
-        """Start with no engine kept.
+        """Create an instance without groups.
 
-        :param clock: the time.
-        :param knowledge: what is known of the engines.
-        :param parts_pool: decides which engines are kept.
-        :param metrics: counts changes of groups, if given.
+        :param clock: clock that gives the current time.
+        :param knowledge: loads, rates and token gaps of the engines.
+        :param parts_pool: policy that decides which engines are reserved.
+        :param metrics: metrics that count the changes of groups, if given.
         """
         self._clock = clock
         self._knowledge = knowledge
-        self._parts_pool = parts_pool
+        self._group_policy = parts_pool
         self._metrics = metrics
         self._pools: dict[str, PoolGroups] = {}
 
@@ -62,60 +62,62 @@
         demand: Demand,
         usable: list[PoolEndpoint],
     ) -> list[PoolEndpoint]:
-        """Leave out engines that a prompt should not go to.
+        """Return the engines that a prompt may go to.
 
-        :param routes: the configuration in force.
-        :param demand: what the prompt asks.
+        :param routes: current configuration of the routes.
+        :param demand: the demand of the prompt.
         :param usable: engines of one pool that take new work.
-        :returns: those that it may go to, all where none is kept.
+        :returns: the allowed engines, all if none is reserved.
         """
-        if not usable or self._parts_pool is keep_none:
+        if not usable or self._group_policy is keep_none:
             return usable
-        groups = self._find(usable[0].pool)
+        groups = self._find_or_create(usable[0].pool)
         groups.note_prompt(demand)
         now_ms = self._clock.now_ms()
-        seen_ms = groups.reviewed_ms
-        apart_ms = max(_REVIEW_MS, len(usable) * _REVIEW_MS_PER_ENGINE)
-        if seen_ms is None or now_ms - seen_ms >= apart_ms:
+        updated_ms = groups.reviewed_ms
+        interval_ms = max(
+            _UPDATE_INTERVAL_MS, len(usable) * _UPDATE_INTERVAL_MS_PER_ENGINE
+        )
+        if updated_ms is None or now_ms - updated_ms >= interval_ms:
             groups.review(routes, usable, now_ms)
         return groups.narrow(demand, usable)
 
     def forget(self, pool: str) -> None:
-        """Let all engines of a pool be for all streams.
+        """Remove all groups of a pool.
 
-        :param pool: name of the pool, one that has become small.
+        :param pool: name of the pool, which has become small.
         """
         groups = self._pools.pop(pool, None)
         if groups is not None:
             groups.forget_groups()
 
     def safe_gap_ms(self, pool: str, engine: str) -> int | None:
-        """Tell beside which streams reads at an engine are harmless.
+        """Return the shortest token gap bound that an engine keeps.
 
-        :param pool: name of its pool.
-        :param engine: its name.
-        :returns: the shortest gap in milliseconds that streams there may bear;
-            None if no engine is kept, or if it is not known.
+        :param pool: name of the pool of the engine.
+        :param engine: name of the engine.
+        :returns: shortest bound in milliseconds that its streams keep during
+            prefills; None if it is unknown or no engine is reserved.
         """
         groups = self._pools.get(pool)
         return groups.safe_gap_ms(engine) if groups else None
 
     def status(self) -> dict[str, Any]:
-        """Show the groups.
+        """Return the status of the groups.
 
-        :returns: for each pool with groups and each gap the engines, and which
-            are closed to long reads.
+        :returns: engines and engines closed to long prefills, by token gap
+            bound, by pool with groups.
         """
-        shown = {name: groups.show() for name, groups in self._pools.items()}
-        return {name: groups for name, groups in shown.items() if groups}
+        statuses = {name: groups.show() for name, groups in self._pools.items()}
+        return {name: groups for name, groups in statuses.items() if groups}
 
-    def _find(self, pool: str) -> PoolGroups:
+    def _find_or_create(self, pool: str) -> PoolGroups:
         groups = self._pools.get(pool)
         if groups is None:
             groups = PoolGroups(
                 pool=pool,
                 knowledge=self._knowledge,
-                parts_pool=self._parts_pool,
+                parts_pool=self._group_policy,
                 metrics=self._metrics,
             )
             self._pools[pool] = groups
