--- a/wingfall/gateway/rules/placement/group_size.py
+++ b/wingfall/gateway/rules/placement/group_size.py
@@ -58,6 +58,6 @@
         is_due = now_ms - since_ms >= _SHRINK_DELAY_MS
         return is_due and now_ms - self._resized_ms >= _SHRINK_INTERVAL_MS
 
-    def _resize(self, change: int, now_ms: int) -> None:
-        self.engines += change
+    def _resize(self, engines: int, now_ms: int) -> None:
+        self.engines += engines
         self._resized_ms = now_ms
