--- a/wingfall/gateway/rules/placement/engine_groups.py
+++ b/wingfall/gateway/rules/placement/engine_groups.py
@@ -123,8 +123,8 @@
             token gap bound.
         :param fit_engines: number of engines of the order that keep the bound
             during prefills, by token gap bound.
-        :param closed: number of engines of the order to close to long prefills
-            for the streams with this or a shorter bound, by token gap bound.
+        :param closed: number of engines to close to long prefills for streams
+            with this or a shorter bound, by token gap bound.
         :param most_closed: maximum number of closed engines, so that enough
             prefill rate remains.
         """
--- a/wingfall/gateway/rules/placement/pool_groups.py
+++ b/wingfall/gateway/rules/placement/pool_groups.py
@@ -158,11 +158,11 @@
         self._freeze_after_loss(len(usable), now_ms)
         self._snapshot = PoolLook(usable=usable, knowledge=self._knowledge)
         state = self._build_state(routes)
-        parting = self._group_policy(state)
-        if parting is None:
+        grouping = self._group_policy(state)
+        if grouping is None:
             self.forget_groups()
         else:
-            self._update_groups(parting, now_ms)
+            self._update_groups(grouping, now_ms)
             for group in self._groups.values():
                 group.log_change(state.streams, now_ms)
 
@@ -201,19 +201,19 @@
             self._frozen_until_ms = now_ms + _LOSS_FREEZE_MS
         self._engine_count = engine_count
 
-    def _update_groups(self, parting: Parting, now_ms: int) -> None:
-        self._classes = dict(parting.classes)
-        self._fit = dict(parting.fit)
+    def _update_groups(self, grouping: Parting, now_ms: int) -> None:
+        self._classes = dict(grouping.classes)
+        self._fit = dict(grouping.fit)
         is_frozen = now_ms < self._frozen_until_ms
-        for gap_ms in parting.fit:
+        for gap_ms in grouping.fit:
             if gap_ms not in self._groups:
                 self._groups[gap_ms] = GapGroup(
                     pool=self._pool, gap_ms=gap_ms, metrics=self._metrics
                 )
-        for ended_gap_ms in self._groups.keys() - parting.fit.keys():
+        for ended_gap_ms in self._groups.keys() - grouping.fit.keys():
             self._groups.pop(ended_gap_ms).log_end()
         for group in self._groups.values():
-            group.follow(parting, now_ms, held=is_frozen)
+            group.follow(grouping, now_ms, held=is_frozen)
         self._update_engine_sets()
 
     def _update_engine_sets(self) -> None:
