--- a/tests/test_kept_engines.py
+++ b/tests/test_kept_engines.py
@@ -246,12 +246,12 @@
 
 def test_size_grows_sooner_than_it_shrinks():
     size = GroupSize()
-    changes = [size.follow(5, now_ms) for now_ms in range(0, 1000, 50)]
+    changes = [size.step_towards(5, now_ms) for now_ms in range(0, 1000, 50)]
     assert sum(changes) == size.engines == 4
     # A short drop changes nothing.
-    size.follow(0, 1000)
-    size.follow(4, 2500)
-    assert not size.follow(0, 3500)
+    size.step_towards(0, 1000)
+    size.step_towards(4, 2500)
+    assert not size.step_towards(0, 3500)
     assert size.engines == 4
-    assert size.follow(0, 5600)
+    assert size.step_towards(0, 5600)
     assert size.engines == 3
--- a/wingfall/gateway/rules/placement/gap_group.py
+++ b/wingfall/gateway/rules/placement/gap_group.py
@@ -34,7 +34,7 @@
         'engines',
         'fit',
         'gap_ms',
-        'room',
+        'free_engines',
     )
 
     def __init__(
@@ -61,12 +61,14 @@
         self.fit: frozenset[str] = frozenset()
         self.closed: frozenset[str] = frozenset()
         # Engines of the group with free capacity for a stream.
-        self.room: frozenset[str] = frozenset()
+        self.free_engines: frozenset[str] = frozenset()
         # Counts of fit and closed engines in the last log line, and its time.
         self._logged_counts = (0, 0)
         self._logged_ms = -_LOG_INTERVAL_MS
 
-    def follow(self, parting: Parting, now_ms: int, *, held: bool) -> None:
+    def step_towards(
+        self, parting: Parting, now_ms: int, *, held: bool
+    ) -> None:
         """Move the group by one closed engine towards a grouping.
 
         :param parting: the grouping that should be reached.
@@ -75,7 +77,7 @@
         """
         fit = parting.fit_engines.get(self.gap_ms, 0)
         self._closed_needed = parting.closed.get(self.gap_ms, 0)
-        if not held and self._size.follow(self._closed_needed, now_ms):
+        if not held and self._size.step_towards(self._closed_needed, now_ms):
             self._count_decision('moved')
         self.fit = frozenset(parting.order[:fit])
         # After a pool has shrunk, the lower maximum applies at once.
@@ -83,7 +85,7 @@
         self.closed = frozenset(parting.order[:closed])
         self.engines = self.fit | self.closed
 
-    def show(self) -> dict[str, Any]:
+    def describe(self) -> dict[str, Any]:
         """Return the status of the group.
 
         :returns: names of all engines and of closed engines, and the number of
--- a/wingfall/gateway/rules/placement/group_size.py
+++ b/wingfall/gateway/rules/placement/group_size.py
@@ -29,7 +29,7 @@
         # Since when fewer engines suffice; None if they do not.
         self._oversized_since_ms: int | None = None
 
-    def follow(self, required: int, now_ms: int) -> bool:
+    def step_towards(self, required: int, now_ms: int) -> bool:
         """Change the size by one engine towards the required size, if due.
 
         :param required: number of engines required.
--- a/wingfall/gateway/rules/placement/kept_engines.py
+++ b/wingfall/gateway/rules/placement/kept_engines.py
@@ -74,12 +74,12 @@
         groups = self._find_or_create(usable[0].pool)
         groups.note_prompt(demand)
         now_ms = self._clock.now_ms()
-        updated_ms = groups.reviewed_ms
+        last_ms = groups.refreshed_ms
         interval_ms = max(
             _UPDATE_INTERVAL_MS, len(usable) * _UPDATE_INTERVAL_MS_PER_ENGINE
         )
-        if updated_ms is None or now_ms - updated_ms >= interval_ms:
-            groups.review(routes, usable, now_ms)
+        if last_ms is None or now_ms - last_ms >= interval_ms:
+            groups.refresh(routes, usable, now_ms)
         return groups.narrow(demand, usable)
 
     def forget(self, pool: str) -> None:
@@ -89,7 +89,7 @@
         """
         groups = self._pools.pop(pool, None)
         if groups is not None:
-            groups.forget_groups()
+            groups.remove_groups()
 
     def safe_gap_ms(self, pool: str, engine: str) -> int | None:
         """Return the shortest token gap bound that an engine keeps.
@@ -108,7 +108,9 @@
         :returns: engines and engines closed to long prefills, by token gap
             bound, by pool with groups.
         """
-        statuses = {name: groups.show() for name, groups in self._pools.items()}
+        statuses = {
+            name: groups.describe() for name, groups in self._pools.items()
+        }
         return {name: groups for name, groups in statuses.items() if groups}
 
     def _find_or_create(self, pool: str) -> PoolGroups:
--- a/wingfall/gateway/rules/placement/pool_groups.py
+++ b/wingfall/gateway/rules/placement/pool_groups.py
@@ -57,7 +57,7 @@
         '_group_policy',
         '_pool',
         '_safe_gaps_ms',
-        'reviewed_ms',
+        'refreshed_ms',
     )
 
     def __init__(
@@ -82,7 +82,7 @@
         self._prompt_lengths = PromptKinds()
         self._snapshot = PoolLook(usable=(), knowledge=knowledge)
         # Clock time of the last update; None before the first one.
-        self.reviewed_ms: int | None = None
+        self.refreshed_ms: int | None = None
         self._groups: dict[int, GapGroup] = {}
         # Classes and fit counts of the last decision.
         self._classes: dict[str, int] = {}
@@ -118,7 +118,7 @@
         group = self._groups.get(demand.gap_target_ms or 0)
         if group is None or self._prompt_lengths.is_long(demand):
             return self._list_open_engines(demand, usable)
-        for names in (group.room & group.fit, group.room):
+        for names in (group.free_engines & group.fit, group.free_engines):
             candidates = [each for each in usable if each.name in names]
             if len(candidates) >= _MIN_CANDIDATE_ENGINES:
                 return candidates
@@ -133,16 +133,17 @@
         """
         return self._safe_gaps_ms.get(engine)
 
-    def show(self) -> dict[str, Any]:
+    def describe(self) -> dict[str, Any]:
         """Return the status of the groups.
 
         :returns: status of each :class:`GapGroup` by token gap bound.
         """
         return {
-            str(gap_ms): group.show() for gap_ms, group in self._groups.items()
+            str(gap_ms): group.describe()
+            for gap_ms, group in self._groups.items()
         }
 
-    def review(
+    def refresh(
         self,
         routes: Routes,
         usable: Sequence[PoolEndpoint],
@@ -154,19 +155,19 @@
         :param usable: engines of the pool that take new work.
         :param now_ms: the current time in milliseconds.
         """
-        self.reviewed_ms = now_ms
+        self.refreshed_ms = now_ms
         self._freeze_after_loss(len(usable), now_ms)
         self._snapshot = PoolLook(usable=usable, knowledge=self._knowledge)
         state = self._build_state(routes)
         grouping = self._group_policy(state)
         if grouping is None:
-            self.forget_groups()
+            self.remove_groups()
         else:
             self._update_groups(grouping, now_ms)
             for group in self._groups.values():
                 group.log_change(state.streams, now_ms)
 
-    def forget_groups(self) -> None:
+    def remove_groups(self) -> None:
         """Remove all groups, so that all engines serve all streams."""
         if not self._groups:
             return
@@ -183,7 +184,7 @@
         # Engines are closed only for streams of short prompts, and only while
         # long prompts arrive.
         streams = {}
-        if self._snapshot.reads_long:
+        if self._snapshot.has_long_prefills:
             streams = self._snapshot.count_streams(
                 self._prompt_lengths.is_short
             )
@@ -213,7 +214,7 @@
         for ended_gap_ms in self._groups.keys() - grouping.fit.keys():
             self._groups.pop(ended_gap_ms).log_end()
         for group in self._groups.values():
-            group.follow(grouping, now_ms, held=is_frozen)
+            group.step_towards(grouping, now_ms, held=is_frozen)
         self._update_engine_sets()
 
     def _update_engine_sets(self) -> None:
@@ -224,10 +225,10 @@
             fit = self._groups[gap_ms].fit
             self._safe_gaps_ms.update(dict.fromkeys(fit, gap_ms))
         for group in groups:
-            group.room = frozenset(
+            group.free_engines = frozenset(
                 name
                 for name in group.engines
-                if self._snapshot.has_room(name, self._closed)
+                if self._snapshot.has_free_capacity(name, self._closed)
             )
 
     def _list_open_engines(
@@ -241,7 +242,7 @@
             each for each in usable if each.name not in self._closed
         ]
         if any(
-            self._snapshot.begins_in_time(each.name, demand)
+            self._snapshot.starts_in_time(each.name, demand)
             for each in open_engines
         ):
             return open_engines
@@ -250,7 +251,7 @@
             each
             for each in usable
             if each.name not in self._closed
-            or not self._snapshot.runs_any(each.name, is_short)
+            or not self._snapshot.has_streams(each.name, is_short)
         ] or usable
 
 
--- a/wingfall/gateway/rules/placement/pool_look.py
+++ b/wingfall/gateway/rules/placement/pool_look.py
@@ -29,7 +29,7 @@
 class PoolLook:
     """The engines of a pool and their loads at one moment."""
 
-    __slots__ = ('_loads', '_slots', 'engines', 'reads_long')
+    __slots__ = ('_loads', '_slots', 'engines', 'has_long_prefills')
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         }
         recent_tokens = sum(map(knowledge.long_reads.tokens, self.engines))
         # Whether long prompts arrived recently.
-        self.reads_long = recent_tokens >= SHORT_READ_TOKENS
+        self.has_long_prefills = recent_tokens >= SHORT_READ_TOKENS
 
     def count_streams(
         self, is_counted: Callable[[int], bool]
@@ -68,7 +68,9 @@
                     streams[gap_ms] = streams.get(gap_ms, 0) + count
         return streams
 
-    def runs_any(self, engine: str, is_counted: Callable[[int], bool]) -> bool:
+    def has_streams(
+        self, engine: str, is_counted: Callable[[int], bool]
+    ) -> bool:
         """Check if streams with certain token gap bounds run at an engine.
 
         :param engine: name of the engine.
@@ -78,7 +80,7 @@
         load = self._loads.get(engine)
         return load is not None and any(map(is_counted, load.streams))
 
-    def has_room(self, engine: str, closed: Collection[str]) -> bool:
+    def has_free_capacity(self, engine: str, closed: Collection[str]) -> bool:
         """Check if an engine takes another stream of its group.
 
         :param engine: name of the engine.
@@ -93,7 +95,7 @@
         )
         return load.running < self._slots[engine] * fraction
 
-    def begins_in_time(self, engine: str, demand: Demand) -> bool:
+    def starts_in_time(self, engine: str, demand: Demand) -> bool:
         """Check if an engine would begin the output of a prompt in time.
 
         :param engine: name of the engine.
