--- a/tests/test_engine_groups.py
+++ b/tests/test_engine_groups.py
@@ -112,7 +112,7 @@
 def test_quick_engines_keep_short_gaps_beside_reads():
     grouping = group(make_engines())
     assert set(grouping.order[: len(QUICK)]) == set(QUICK)
-    assert grouping.fit_engines == {SHORT_MS: len(QUICK), LONG_MS: 16}
+    assert grouping.fit_counts == {SHORT_MS: len(QUICK), LONG_MS: 16}
     assert grouping.closed == {SHORT_MS: 0, LONG_MS: 0}
 
 
@@ -151,14 +151,14 @@
     longer = make_engines(quick_ms=215)
     assert part_by_gap(make_pool(longer)) is None
     grouping = group(longer, fit={SHORT_MS: 1})
-    assert grouping.fit_engines[SHORT_MS] == len(QUICK)
+    assert grouping.fit_counts[SHORT_MS] == len(QUICK)
     assert part_by_gap(make_pool(make_engines(250), fit={SHORT_MS: 1})) is None
 
 
 def test_odd_stream_does_not_make_reads_harmful():
     gaps = (160, 160, 160, 160, 160, 160, 160, 900)
     outlier = make_engine(QUICK[0], 160, 160, full_gaps_ms=gaps)
-    assert group([outlier, *make_engines()[1:]]).fit_engines[SHORT_MS] == len(
+    assert group([outlier, *make_engines()[1:]]).fit_counts[SHORT_MS] == len(
         QUICK
     )
 
@@ -183,14 +183,14 @@
         streams={SHORT_MS: 150, 300: 150},
     )
     assert grouping.closed[SHORT_MS] <= grouping.closed[300]
-    assert grouping.fit_engines[SHORT_MS] <= grouping.fit_engines[300]
+    assert grouping.fit_counts[SHORT_MS] <= grouping.fit_counts[300]
 
 
 def test_no_more_is_closed_than_leaves_half_to_read_with():
     grouping = group(make_engines(), streams={SHORT_MS: 10_000})
     rates = {each.name: each.rate for each in make_engines()}
     open_rate = sum(
-        rates[name] for name in grouping.order[grouping.most_closed :]
+        rates[name] for name in grouping.order[grouping.max_closed :]
     )
     assert open_rate >= sum(rates.values()) / 2
-    assert grouping.closed[SHORT_MS] <= grouping.most_closed
+    assert grouping.closed[SHORT_MS] <= grouping.max_closed
--- a/wingfall/gateway/rules/placement/engine_groups.py
+++ b/wingfall/gateway/rules/placement/engine_groups.py
@@ -100,8 +100,8 @@
         'classes',
         'closed',
         'fit',
-        'fit_engines',
-        'most_closed',
+        'fit_counts',
+        'max_closed',
         'order',
     )
 
@@ -111,9 +111,9 @@
         order: Sequence[str],
         classes: Mapping[str, int],
         fit: Mapping[int, int],
-        fit_engines: Mapping[int, int],
+        fit_counts: Mapping[int, int],
         closed: Mapping[int, int],
-        most_closed: int,
+        max_closed: int,
     ) -> None:
         """Initialize a grouping.
 
@@ -121,18 +121,18 @@
         :param classes: 0 for quick, 1 for usual, 2 for slow engines, by name.
         :param fit: number of classes that keep the bound during prefills, by
             token gap bound.
-        :param fit_engines: number of engines of the order that keep the bound
+        :param fit_counts: number of engines of the order that keep the bound
             during prefills, by token gap bound.
         :param closed: number of engines to close to long prefills for streams
             with this or a shorter bound, by token gap bound.
-        :param most_closed: maximum number of closed engines, so that enough
+        :param max_closed: maximum number of closed engines, so that enough
             prefill rate remains.
         """
         self.order = order
-        self.most_closed = most_closed
+        self.max_closed = max_closed
         self.classes = classes
         self.fit = fit
-        self.fit_engines = fit_engines
+        self.fit_counts = fit_counts
         self.closed = closed
 
 
@@ -172,20 +172,20 @@
         gap_ms: count_fit(gaps, gap_ms, pool.fit.get(gap_ms, 0))
         for gap_ms in pool.gap_bounds_ms
     }
-    fit_engines = {
+    fit_counts = {
         gap_ms: _count_members(classes, sorted(gaps)[:count])
         for gap_ms, count in fit.items()
     }
-    if all(count in {0, len(engines)} for count in fit_engines.values()):
+    if all(count in {0, len(engines)} for count in fit_counts.values()):
         return None
     full_gaps_ms = [gaps[classes[each.name]] for each in engines]
     return Parting(
         order=[each.name for each in engines],
         classes=classes,
         fit=fit,
-        fit_engines=fit_engines,
-        closed=_count_closed_by_bound(pool, engines, fit_engines, full_gaps_ms),
-        most_closed=_count_max_closed(engines),
+        fit_counts=fit_counts,
+        closed=_count_closed_by_bound(pool, engines, fit_counts, full_gaps_ms),
+        max_closed=_count_max_closed(engines),
     )
 
 
@@ -215,7 +215,7 @@
 def _count_closed_by_bound(
     pool: PoolState,
     engines: Sequence[PoolEngine],
-    fit_engines: Mapping[int, int],
+    fit_counts: Mapping[int, int],
     full_gaps_ms: Sequence[float],
 ) -> dict[int, int]:
     closed = {}
@@ -224,7 +224,7 @@
         streams += pool.streams.get(gap_ms, 0)
         closed[gap_ms] = _count_closed(
             engines,
-            fit_engines[gap_ms],
+            fit_counts[gap_ms],
             [_scale_closed_fraction(each, gap_ms) for each in full_gaps_ms],
             streams * _STREAM_HEADROOM_FACTOR,
         )
--- a/wingfall/gateway/rules/placement/gap_group.py
+++ b/wingfall/gateway/rules/placement/gap_group.py
@@ -67,22 +67,24 @@
         self._logged_ms = -_LOG_INTERVAL_MS
 
     def step_towards(
-        self, parting: Parting, now_ms: int, *, held: bool
+        self, grouping: Parting, now_ms: int, *, is_frozen: bool
     ) -> None:
         """Move the group by one closed engine towards a grouping.
 
-        :param parting: the grouping that should be reached.
+        :param grouping: the grouping that should be reached.
         :param now_ms: the current time in milliseconds.
-        :param held: whether the number of closed engines must not change.
+        :param is_frozen: whether the number of closed engines must not change.
         """
-        fit = parting.fit_engines.get(self.gap_ms, 0)
-        self._closed_needed = parting.closed.get(self.gap_ms, 0)
-        if not held and self._size.step_towards(self._closed_needed, now_ms):
+        fit = grouping.fit_counts.get(self.gap_ms, 0)
+        self._closed_needed = grouping.closed.get(self.gap_ms, 0)
+        if not is_frozen and self._size.step_towards(
+            self._closed_needed, now_ms
+        ):
             self._count_decision('moved')
-        self.fit = frozenset(parting.order[:fit])
+        self.fit = frozenset(grouping.order[:fit])
         # After a pool has shrunk, the lower maximum applies at once.
-        closed = min(self._size.engines, parting.most_closed)
-        self.closed = frozenset(parting.order[:closed])
+        closed = min(self._size.engines, grouping.max_closed)
+        self.closed = frozenset(grouping.order[:closed])
         self.engines = self.fit | self.closed
 
     def describe(self) -> dict[str, Any]:
--- a/wingfall/gateway/rules/placement/pool_groups.py
+++ b/wingfall/gateway/rules/placement/pool_groups.py
@@ -214,7 +214,7 @@
         for ended_gap_ms in self._groups.keys() - grouping.fit.keys():
             self._groups.pop(ended_gap_ms).log_end()
         for group in self._groups.values():
-            group.step_towards(grouping, now_ms, held=is_frozen)
+            group.step_towards(grouping, now_ms, is_frozen=is_frozen)
         self._update_engine_sets()
 
     def _update_engine_sets(self) -> None:
