--- a/tests/test_engine_groups.py
+++ b/tests/test_engine_groups.py
@@ -9,7 +9,7 @@
 
 from wingfall.gateway.rules.placement.engine_classes import PoolEngine
 from wingfall.gateway.rules.placement.engine_groups import (
-    Parting,
+    EngineGrouping,
     PoolState,
     keep_none,
     part_by_gap,
@@ -61,7 +61,7 @@
     )
 
 
-def group(members: list[PoolEngine], **fields: object) -> Parting:
+def group(members: list[PoolEngine], **fields: object) -> EngineGrouping:
     """Return the grouping of a pool, which must not be None."""
     grouping = part_by_gap(make_pool(members, **fields))
     assert grouping is not None
--- a/wingfall/gateway/rules/placement/engine_groups.py
+++ b/wingfall/gateway/rules/placement/engine_groups.py
@@ -90,7 +90,7 @@
 
 
 @final
-class Parting:
+class EngineGrouping:
     """How the engines of a pool should be grouped.
 
     Streams with a token gap bound go to the head of one order of engines.
@@ -136,7 +136,7 @@
         self.closed = closed
 
 
-EngineGroups = Callable[['PoolState'], 'Parting | None']
+EngineGroups = Callable[['PoolState'], 'EngineGrouping | None']
 engine_groups: Final[Registry[EngineGroups]] = Registry(kind='engine groups')
 
 
@@ -149,7 +149,7 @@
 
 
 @engine_groups.register('by_gap')
-def part_by_gap(pool: PoolState) -> Parting | None:
+def part_by_gap(pool: PoolState) -> EngineGrouping | None:
     """Group the engines of a pool by the token gap bounds of its streams.
 
     :param pool: state of the pool.
@@ -179,7 +179,7 @@
     if all(count in {0, len(engines)} for count in fit_counts.values()):
         return None
     full_gaps_ms = [gaps[classes[each.name]] for each in engines]
-    return Parting(
+    return EngineGrouping(
         order=[each.name for each in engines],
         classes=classes,
         fit=fit,
--- a/wingfall/gateway/rules/placement/gap_group.py
+++ b/wingfall/gateway/rules/placement/gap_group.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from wingfall.gateway.rules.placement.engine_groups import Parting
+    from wingfall.gateway.rules.placement.engine_groups import EngineGrouping
     from wingfall.metrics import Metrics
 
 # Minimum time between two log lines about one group.
@@ -67,7 +67,7 @@
         self._logged_ms = -_LOG_INTERVAL_MS
 
     def step_towards(
-        self, grouping: Parting, now_ms: int, *, is_frozen: bool
+        self, grouping: EngineGrouping, now_ms: int, *, is_frozen: bool
     ) -> None:
         """Move the group by one closed engine towards a grouping.
 
--- a/wingfall/gateway/rules/placement/pool_groups.py
+++ b/wingfall/gateway/rules/placement/pool_groups.py
@@ -21,7 +21,7 @@
     from wingfall.gateway.rules.placement.candidate import Demand
     from wingfall.gateway.rules.placement.engine_groups import (
         EngineGroups,
-        Parting,
+        EngineGrouping,
     )
     from wingfall.metrics import Metrics
 
@@ -202,7 +202,7 @@
             self._frozen_until_ms = now_ms + _LOSS_FREEZE_MS
         self._engine_count = engine_count
 
-    def _update_groups(self, grouping: Parting, now_ms: int) -> None:
+    def _update_groups(self, grouping: EngineGrouping, now_ms: int) -> None:
         self._classes = dict(grouping.classes)
         self._fit = dict(grouping.fit)
         is_frozen = now_ms < self._frozen_until_ms
