--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""The choice of an endpoint."""
+"""Choice of the endpoint that serves a request."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     gap_ms: int = 1000,
     start_ms: int | None = None,
 ) -> Demand:
-    """Make the demand of a prompt."""
+    """Create the demand of a prompt."""
     return Demand(
         is_prompt=True,
         tokens=tokens,
@@ -32,60 +32,60 @@
     )
 
 
-def engine(name: str, **known: object) -> Candidate:
-    """Make an engine with room."""
-    return Candidate(**{'name': name, 'slots': 64, **known})
+def engine(name: str, **fields: object) -> Candidate:
+    """Create an engine with free slots."""
+    return Candidate(**{'name': name, 'slots': 64, **fields})
 
 
-def chosen(demand: Demand, *candidates: Candidate) -> str:
-    """Choose among candidates."""
+def choose(demand: Demand, *candidates: Candidate) -> str:
+    """Return the name of the chosen endpoint."""
     return place_by_reading(demand, candidates).name
 
 
 def test_prompt_goes_where_its_part_is_kept():
-    kept = engine('kept', cached_tokens=5000, running=5, reading_tokens=3000)
-    assert chosen(prompt(), engine('idle'), kept) == 'kept'
+    caching = engine('kept', cached_tokens=5000, running=5, reading_tokens=3000)
+    assert choose(prompt(), engine('idle'), caching) == 'kept'
 
 
 def test_prompt_leaves_an_engine_that_is_far_behind():
-    kept = engine('kept', cached_tokens=5000, reading_tokens=90_000)
-    assert chosen(prompt(), engine('idle'), kept) == 'idle'
+    caching = engine('kept', cached_tokens=5000, reading_tokens=90_000)
+    assert choose(prompt(), engine('idle'), caching) == 'idle'
 
 
 def test_prompt_leaves_a_busy_engine_sooner_if_its_part_can_be_copied():
     behind = engine('behind', cached_tokens=5000, reading_tokens=28_000)
-    assert chosen(prompt(), engine('reads'), behind) == 'behind'
+    assert choose(prompt(), engine('reads'), behind) == 'behind'
     copies = engine('copies', copied_tokens=5000)
-    assert chosen(prompt(), engine('reads'), behind, copies) == 'copies'
+    assert choose(prompt(), engine('reads'), behind, copies) == 'copies'
 
 
 def test_prompt_stays_where_its_part_is_kept_though_it_can_be_copied():
-    kept = engine('kept', cached_tokens=5000, reading_tokens=10_000)
+    caching = engine('kept', cached_tokens=5000, reading_tokens=10_000)
     copies = engine('copies', copied_tokens=5000)
-    assert chosen(prompt(), copies, kept) == 'kept'
+    assert choose(prompt(), copies, caching) == 'kept'
 
 
 def test_stream_of_short_pauses_avoids_long_reads():
     tight = prompt(tokens=300, shared=100, gap_ms=300)
-    reads = engine('reads', long_reads=20_000)
-    assert chosen(tight, reads, engine('busy', running=12)) == 'busy'
+    busy = engine('reads', long_reads=20_000)
+    assert choose(tight, busy, engine('busy', running=12)) == 'busy'
 
 
 def test_long_read_avoids_streams_of_short_pauses():
-    long_read = prompt(tokens=20_000, shared=0)
+    long_prompt = prompt(tokens=20_000, shared=0)
     tight = engine('tight', streams={200: 4})
-    assert chosen(long_read, tight, engine('free', running=20)) == 'free'
+    assert choose(long_prompt, tight, engine('free', running=20)) == 'free'
 
 
 def test_engine_without_memory_is_the_last():
     full = engine('full', memory_tokens=10_000, memory_used=9000)
     busy = engine('busy', running=20)
-    assert chosen(prompt(shared=0), full, busy) == 'busy'
+    assert choose(prompt(shared=0), full, busy) == 'busy'
 
 
 def test_own_zone_goes_first_between_equals():
     assert (
-        chosen(prompt(), engine('far', remote=True), engine('near')) == 'near'
+        choose(prompt(), engine('far', remote=True), engine('near')) == 'near'
     )
 
 
@@ -93,14 +93,14 @@
     demand = Demand()
     busy = Candidate(name='busy', slots=6, running=3)
     idle = Candidate(name='idle', slots=6, running=1, remote=True)
-    assert chosen(demand, busy, idle) == 'idle'
+    assert choose(demand, busy, idle) == 'idle'
 
 
 def test_plain_request_avoids_an_endpoint_that_fails():
     demand = Demand()
     failing = Candidate(name='failing', slots=6, failing=0.5)
     busy = Candidate(name='busy', slots=6, running=4)
-    assert chosen(demand, failing, busy) == 'busy'
+    assert choose(demand, failing, busy) == 'busy'
 
 
 def test_baseline_counts_only_what_runs():
@@ -109,37 +109,37 @@
 
 
 def test_short_read_may_join_streams_of_short_pauses():
-    short_read = prompt(tokens=1000, shared=0)
+    short_prompt = prompt(tokens=1000, shared=0)
     tight = engine('tight', streams={200: 4})
-    assert late_streams(short_read, tight, 1000) == pytest.approx(0)
-    assert chosen(short_read, tight, engine('busy', running=20)) == 'tight'
+    assert late_streams(short_prompt, tight, 1000) == pytest.approx(0)
+    assert choose(short_prompt, tight, engine('busy', running=20)) == 'tight'
 
 
 def test_harm_grows_with_the_read_and_with_the_streams():
     demand = prompt()
     one = engine('one', streams={200: 1})
     four = engine('four', streams={200: 4})
-    harm = late_streams(demand, one, 5000)
-    assert late_streams(demand, one, 9000) > harm * 1.9
-    assert late_streams(demand, four, 5000) > harm * 3.9
+    base = late_streams(demand, one, 5000)
+    assert late_streams(demand, one, 9000) > base * 1.9
+    assert late_streams(demand, four, 5000) > base * 3.9
 
 
 def test_patient_streams_are_harmed_less():
     demand = prompt()
     tight = engine('tight', streams={200: 1})
     patient = engine('patient', streams={2000: 4})
-    harm = late_streams(demand, tight, 5000)
-    assert late_streams(demand, patient, 5000) < harm
+    base = late_streams(demand, tight, 5000)
+    assert late_streams(demand, patient, 5000) < base
 
 
 def test_late_start_is_weighed_against_harm():
-    long_read = prompt(tokens=8000, shared=0, start_ms=600)
-    waits = engine('waits', reading_tokens=20_000)
-    assert late_start(long_read, waits, 8000) == 1
-    assert late_start(prompt(), waits, 8000) == 0
+    long_prompt = prompt(tokens=8000, shared=0, start_ms=600)
+    queued = engine('waits', reading_tokens=20_000)
+    assert late_start(long_prompt, queued, 8000) == 1
+    assert late_start(prompt(), queued, 8000) == 0
     tight = engine('tight', streams={300: 1})
-    assert chosen(long_read, waits, tight) == 'tight'
+    assert choose(long_prompt, queued, tight) == 'tight'
 
 
 def test_guess_at_unseen_reads_parts_equals():
-    assert chosen(prompt(), engine('a', unseen_tokens=10), engine('b')) == 'b'
+    assert choose(prompt(), engine('a', unseen_tokens=10), engine('b')) == 'b'
--- a/wingfall/gateway/rules/placement/__init__.py
+++ b/wingfall/gateway/rules/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Where a call goes: which endpoint, beside which copies of its prompt."""
+"""Placement of calls: choice of the pool, the endpoint and cache copies."""
--- a/wingfall/gateway/rules/placement/candidate.py
+++ b/wingfall/gateway/rules/placement/candidate.py
@@ -1,6 +1,6 @@
-"""The inputs of a placement: a request, and the endpoints it may go to.
+"""Inputs of a placement: a request and the endpoints it may be sent to.
 
-Plain data; times are milliseconds, lengths tokens.
+Plain data; times are in milliseconds, lengths in tokens.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 @final
 class Candidate:
-    """What is known of an endpoint when a request is placed."""
+    """State of an endpoint at the time a request is placed."""
 
     __slots__ = (
         'cached_tokens',
@@ -55,25 +55,26 @@
     ) -> None:
         """Describe an endpoint.
 
-        :param name: its name.
+        :param name: name of the endpoint.
         :param remote: whether it is in another availability zone.
-        :param slots: requests it runs at once.
-        :param running: requests that run or wait there, of all gateways.
-        :param reading_tokens: prompt tokens still to be read there.
-        :param memory_used: tokens that running requests hold there.
-        :param memory_tokens: tokens it can hold, 0 if unknown.
+        :param slots: number of requests that it runs at once.
+        :param running: requests of all gateways that run or wait there.
+        :param reading_tokens: prompt tokens that it has not prefilled yet.
+        :param memory_used: tokens held there by running requests.
+        :param memory_tokens: capacity in tokens, 0 if unknown.
         :param cached_tokens: tokens of this prompt that it caches.
         :param copied_tokens: tokens of this prompt that it would copy from
             another engine.
-        :param all_cached_tokens: tokens of all prompts that it caches.
-        :param streams: how many streams there bear which longest token gap
-            in milliseconds.
-        :param speed: what it has shown of its reading and its token gaps.
-        :param long_reads: tokens of long reads that it was sent lately.
-        :param unseen_tokens: a guess at what other gateways sent it meanwhile.
-        :param failing: share of its requests that fail, 0 to 1.
-        :param safe_gap_ms: the shortest gap that streams there bear beside
-            reads that never end, None if that is not known.
+        :param all_cached_tokens: cached tokens of all prompts.
+        :param streams: number of running streams by their token gap bound in
+            milliseconds.
+        :param speed: measured prefill rate and token gaps.
+        :param long_reads: tokens of long prefills sent to it recently.
+        :param unseen_tokens: estimate of tokens sent to it by other gateways
+            and not yet reported.
+        :param failing: fraction of its requests that fail, 0 to 1.
+        :param safe_gap_ms: the shortest token gap bound that is met during
+            continuous prefill, None if unknown.
         """
         self.name = name
         self.remote = remote
@@ -93,17 +94,17 @@
         self.safe_gap_ms = safe_gap_ms
 
     def is_safe(self, gap_ms: int) -> bool:
-        """Tell whether reads there are harmless to a stream.
+        """Check if a stream meets its token gap bound during any prefill.
 
-        :param gap_ms: the longest gap in milliseconds that the stream bears.
-        :returns: whether it is known that they are.
+        :param gap_ms: token gap bound of the stream in milliseconds.
+        :returns: whether the bound is known to be met.
         """
         return self.safe_gap_ms is not None and gap_ms >= self.safe_gap_ms
 
 
 @final
 class Demand:
-    """What a request asks of an endpoint."""
+    """Requirements that a request places on an endpoint."""
 
     __slots__ = (
         'body_bytes',
@@ -128,14 +129,15 @@
     ) -> None:
         """Describe a request.
 
-        :param is_prompt: whether a model engine reads a prompt for it.
+        :param is_prompt: whether the request has a prompt for a model engine.
         :param tokens: length of the prompt.
-        :param shared_tokens: tokens of it that other prompts share.
-        :param output_tokens: likely length of the answer.
-        :param start_target_ms: when its first event is due, None if ever.
-        :param gap_target_ms: the longest token gap in milliseconds that its
-            stream bears, None if any.
-        :param body_bytes: bytes that travel to the endpoint.
+        :param shared_tokens: prompt tokens shared with other prompts.
+        :param output_tokens: expected length of the answer.
+        :param start_target_ms: target for the time to the first event in
+            milliseconds, None without a target.
+        :param gap_target_ms: token gap bound of the stream in milliseconds,
+            None without a bound.
+        :param body_bytes: bytes sent to the endpoint.
         """
         self.is_prompt = is_prompt
         self.tokens = tokens
