--- a/tests/test_engine_priority.py
+++ b/tests/test_engine_priority.py
@@ -1,4 +1,4 @@
-"""How urgent engines are told that a prompt is."""
+"""Priority that is sent to an engine with a prompt."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
     engine_priority,
 )
 
-CUSTOMERS = (None, *range(PRIORITIES))
+CUSTOMER_TIERS = (None, *range(PRIORITIES))
 
 
 @pytest.mark.parametrize('count', range(1, PRIORITIES + 1))
 def test_more_urgent_route_goes_first_whoever_the_customers_are(count: int):
     tiers = range(count)
     for urgent, lesser in itertools.combinations(tiers, 2):
-        for first, second in itertools.product(CUSTOMERS, CUSTOMERS):
+        for first, second in itertools.product(CUSTOMER_TIERS, CUSTOMER_TIERS):
             assert engine_priority(urgent, first, tiers) < engine_priority(
                 lesser, second, tiers
             )
@@ -27,11 +27,11 @@
 @pytest.mark.parametrize('count', range(1, PRIORITIES + 1))
 def test_priorities_fit_what_engines_tell_apart(count: int):
     tiers = range(count)
-    told = {
+    priorities = {
         engine_priority(tier, customer, tiers)
-        for tier, customer in itertools.product(tiers, CUSTOMERS)
+        for tier, customer in itertools.product(tiers, CUSTOMER_TIERS)
     }
-    assert told <= set(range(PRIORITIES))
+    assert priorities <= set(range(PRIORITIES))
 
 
 def test_customers_are_ordered_among_prompts_of_one_tier():
--- a/wingfall/gateway/rules/placement/cache_transfer.py
+++ b/wingfall/gateway/rules/placement/cache_transfer.py
@@ -1,9 +1,9 @@
-"""Whether an engine copies what another one caches, instead of reading it.
+"""Copying of cached prompt parts between engines instead of prefilling them.
 
-Prompts share parts. An engine that doesn't cache a part may copy it from one
-that does, where the pool's engines are joined by a link that is much faster
-than reading. Then a prompt can leave an engine that is far behind without
-its shared parts being read twice.
+Prompts share parts. An engine that doesn't cache a part may copy it from an
+engine that does, where the link between the pool's engines is much faster than
+prefill. Then a prompt can move away from an engine with a long queue without
+a second prefill of its shared parts.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
     from wingfall.gateway.rules.placement.candidate import Candidate
 
-# Fewer tokens are read: a copy has a cost of its own, about that of reading
-# some hundred tokens.
-_LEAST_TOKENS: Final = 512
-# Copying has to be so many times as fast as reading.
-_LEAST_SPEEDUP: Final = 4
-# An engine that fails more often than this is not copied from or to. Above the
-# failures of a day without trouble.
+# Fewer tokens are prefilled instead: a copy has a fixed cost of about the
+# prefill of some hundred tokens.
+_MIN_COPY_TOKENS: Final = 512
+# Minimum ratio of the copy rate to the prefill rate.
+_MIN_SPEEDUP: Final = 4
+# Engines with at least this fraction of failed requests are excluded from
+# copying, as source or target. Above the failures of a day without faults.
 MOST_FAILING: Final = 0.3
 
 CacheTransfer = Callable[['Sequence[Candidate]', float], 'Candidate | None']
@@ -35,48 +35,49 @@
 @cache_transfers.register('most_kept')
 def copy_from_most_kept(
     candidates: Sequence[Candidate],
-    speed: float,
+    speedup: float,
 ) -> Candidate | None:
-    """Name the engine that caches the most of a prompt.
+    """Return the engine that caches the most tokens of a prompt.
 
     :param candidates: the engines, at least one.
-    :param speed: how many times as fast copying is as reading.
-    :returns: the engine, None if nothing is to be copied.
+    :param speedup: ratio of the copy rate to the prefill rate.
+    :returns: the source engine, None if nothing is to be copied.
     """
     usable = [
         each
         for each in candidates
-        if each.failing < MOST_FAILING and each.cached_tokens >= _LEAST_TOKENS
+        if each.failing < MOST_FAILING
+        and each.cached_tokens >= _MIN_COPY_TOKENS
     ]
-    if speed < _LEAST_SPEEDUP:
+    if speedup < _MIN_SPEEDUP:
         usable.clear()
-    return max(usable, key=_cached, default=None)
+    return max(usable, key=_source_rank, default=None)
 
 
 @cache_transfers.register('none')
 def copy_nothing(
     candidates: Sequence[Candidate],
-    speed: float,
+    speedup: float,
 ) -> Candidate | None:
-    """Have each engine read what it doesn't cache, as the baseline.
+    """Copy nothing, so that engines prefill uncached parts: the baseline.
 
-    :param candidates: the engines, which don't matter.
-    :param speed: how fast copying is, which doesn't matter.
+    :param candidates: the engines, ignored.
+    :param speedup: ratio of the copy rate to the prefill rate, ignored.
     """
 
 
 def copied_tokens(candidate: Candidate, source: Candidate | None) -> int:
-    """Tell how much of a prompt an engine would copy.
+    """Count the prompt tokens that an engine would copy.
 
-    :param candidate: the engine.
+    :param candidate: the engine that copies.
     :param source: the engine that is copied from, None if there is none.
-    :returns: tokens, 0 if reading them is as good.
+    :returns: tokens, 0 if prefilling them costs no more.
     """
     if source is None:
         return 0
     tokens = source.cached_tokens - candidate.cached_tokens
-    return tokens if tokens >= _LEAST_TOKENS else 0
+    return tokens if tokens >= _MIN_COPY_TOKENS else 0
 
 
-def _cached(candidate: Candidate) -> tuple[int, int]:
+def _source_rank(candidate: Candidate) -> tuple[int, int]:
     return (candidate.cached_tokens, -candidate.running)
