--- a/tests/test_shared_read.py
+++ b/tests/test_shared_read.py
@@ -1,4 +1,4 @@
-"""How long a prompt waits for a part that is being read."""
+"""How long a prompt waits for a part that is being prefilled."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 )
 
 LEFT_MS = 10_000
-SHARED = {'X_Token_Count': '9010,40', 'X_Prompt_Prefix': 'aa:9000,bb:10'}
+HEADERS = {'X_Token_Count': '9010,40', 'X_Prompt_Prefix': 'aa:9000,bb:10'}
 
 
 @pytest.mark.parametrize(
@@ -43,10 +43,10 @@
     gateway_site.add_gateway()
     engine.delay_ms = 150
     engine.event_ms = 100
-    callers = [gateway_site.caller() for _caller in range(2)]
-    callers[0].send('/stream/x', X_Attempt_Id='first', **SHARED)
+    callers = [gateway_site.caller() for _index in range(2)]
+    callers[0].send('/stream/x', X_Attempt_Id='first', **HEADERS)
     wait_until(engine.run_ids)
-    callers[1].send('/stream/x', X_Attempt_Id='second', **SHARED)
+    callers[1].send('/stream/x', X_Attempt_Id='second', **HEADERS)
     received = b''
     while b'id: 1\n' not in received:
         received += callers[0].sock.recv(1000)
@@ -61,7 +61,7 @@
     engine = gateway_site.add_server('e1', 'engines')
     gateway_site.add_gateway()
     engine.faults = ['error']
-    first = gateway_site.ask('/oneway/x', **SHARED)
+    first = gateway_site.ask('/oneway/x', **HEADERS)
     assert first.status == 500
     assert not caches_part(gateway_site.gateways[0], 'e1', 'aa')
-    assert gateway_site.ask('/oneway/x', **SHARED).whole
+    assert gateway_site.ask('/oneway/x', **HEADERS).whole
--- a/wingfall/gateway/rules/placement/shared_read.py
+++ b/wingfall/gateway/rules/placement/shared_read.py
@@ -1,8 +1,9 @@
-"""How long a prompt waits for a part that its engine is reading already.
+"""How long a prompt waits for a part that its engine is already prefilling.
 
-Two prompts that share a part and come within its reading would have it read
-twice, since an engine looks for kept parts once, when a prompt comes. The
-second loses nothing by waiting: its own reading would begin no sooner.
+An engine looks up cached parts only once, when a prompt arrives. So a part that
+two prompts share is prefilled twice if the second arrives during the prefill of
+the first. The second loses nothing by waiting: its own prefill would begin no
+sooner.
 """
 
 from __future__ import annotations
@@ -14,12 +15,12 @@
 if TYPE_CHECKING:
     from wingfall.gateway.knowledge.prefix_cache import PendingRead
 
-# Fewer tokens are read again sooner than they are waited for.
-_LEAST_TOKENS: Final = 1024
-# Part of a caller's time that it waits at most, so that an attempt elsewhere
-# still has its time. Waiting itself: of 157,000 tokens read again on a calm day
-# 122,000 less.
-_MOST_WAIT_PART: Final = 0.3
+# Prefilling fewer tokens again is faster than waiting for them.
+_MIN_SHARED_TOKENS: Final = 1024
+# Maximum share of the caller's remaining time spent waiting, so that an attempt
+# elsewhere is still in time. Waiting avoided 122,000 of 157,000 tokens of
+# repeated prefill on a calm day.
+_MAX_WAIT_FRACTION: Final = 0.3
 
 
 SharedRead = Callable[['PendingRead', int], int]
@@ -28,15 +29,15 @@
 
 @shared_reads.register('wait')
 def wait_for_read(pending: PendingRead, left_ms: int) -> int:
-    """Wait until the part has been read, if that is soon enough.
+    """Wait until the part is prefilled, if that is soon enough.
 
-    :param pending: what is being read.
-    :param left_ms: how long the caller still waits.
+    :param pending: the parts being prefilled.
+    :param left_ms: remaining time of the caller in milliseconds.
     :returns: milliseconds to wait, 0 to send at once.
     """
-    if pending.tokens < _LEAST_TOKENS:
+    if pending.tokens < _MIN_SHARED_TOKENS:
         return 0
-    if pending.ready_in_ms > left_ms * _MOST_WAIT_PART:
+    if pending.ready_in_ms > left_ms * _MAX_WAIT_FRACTION:
         return 0
     return max(0, pending.ready_in_ms)
 
@@ -45,8 +46,8 @@
 def read_at_once(pending: PendingRead, left_ms: int) -> int:
     """Send at once, as the baseline.
 
-    :param pending: what is being read, which doesn't matter.
-    :param left_ms: the time left, which doesn't matter.
+    :param pending: the parts being prefilled, ignored.
+    :param left_ms: remaining time of the caller in milliseconds, ignored.
     :returns: 0.
     """
     return 0
--- a/wingfall/gateway/rules/placement/stream_backup.py
+++ b/wingfall/gateway/rules/placement/stream_backup.py
@@ -1,9 +1,9 @@
-"""Whether the memory of a running stream is kept at a second engine as well.
+"""Backup of the memory of a running stream on a second engine.
 
-A stream that may neither be repeated nor resumed ends with its engine, unless
-another engine holds a copy of what it has read and made: then the same run
-goes on there. Copying costs bytes between engines for each stream, also for
-the many whose engine stays.
+A stream that can be neither repeated nor resumed ends if its engine fails,
+unless another engine holds a copy of the prefilled prompt and the output: then
+the same run continues there. Copying costs bytes between engines for each
+stream, also for the many whose engine does not fail.
 """
 
 from __future__ import annotations
@@ -19,10 +19,9 @@
     from wingfall.gateway.rules.placement.candidate import Candidate, Demand
     from wingfall.gateway.rules.placement.endpoint_choice import Placement
 
-# A copy costs the bytes of prompt and answer; what it saves grows with the time
-# that the stream runs, so with its answer. Answers half as long as their prompt
-# or longer are worth it.
-_ANSWER_PART: Final = 0.5
+# Minimum ratio of answer to prompt length. A copy costs the bytes of prompt and
+# answer; its benefit grows with the run time of the stream, so with its answer.
+_MIN_ANSWER_RATIO: Final = 0.5
 
 StreamBackup = Callable[['RunLength', bool], bool]
 stream_backups: Final[Registry[StreamBackup]] = Registry(kind='stream backup')
@@ -30,7 +29,7 @@
 
 @final
 class RunLength:
-    """How long the prompt and the answer of a run are."""
+    """Lengths of the prompt and the answer of a run."""
 
     __slots__ = ('output_tokens', 'prompt_tokens')
 
@@ -38,7 +37,7 @@
         """Describe a run.
 
         :param prompt_tokens: length of the prompt.
-        :param output_tokens: likely length of the answer.
+        :param output_tokens: expected length of the answer.
         """
         self.prompt_tokens = prompt_tokens
         self.output_tokens = output_tokens
@@ -46,22 +45,22 @@
 
 @stream_backups.register('long_answers')
 def back_up_long_answers(length: RunLength, resumable: bool) -> bool:
-    """Keep a copy of runs that would be lost and have long answers.
+    """Back up runs with long answers that cannot be resumed.
 
-    :param length: how long the run is.
-    :param resumable: whether another engine may resume the stream without.
-    :returns: whether to keep a copy.
+    :param length: lengths of prompt and answer.
+    :param resumable: whether another engine can resume without a backup.
+    :returns: whether to back up the run.
     """
-    least = length.prompt_tokens * _ANSWER_PART
-    return not resumable and length.output_tokens >= least
+    min_output_tokens = length.prompt_tokens * _MIN_ANSWER_RATIO
+    return not resumable and length.output_tokens >= min_output_tokens
 
 
 @stream_backups.register('none')
 def back_up_nothing(length: RunLength, resumable: bool) -> bool:
-    """Keep no copies, as the baseline.
+    """Back up no runs, as the baseline.
 
-    :param length: how long the run is, which doesn't matter.
-    :param resumable: which doesn't matter.
+    :param length: lengths of prompt and answer, ignored.
+    :param resumable: whether another engine can resume the stream, ignored.
     :returns: False.
     """
     return False
@@ -75,20 +74,20 @@
     is_worth_it: StreamBackup,
     place: Placement,
 ) -> Candidate | None:
-    """Choose the engine that keeps a copy of a stream's run.
-
-    :param candidates: the engines but for the one that runs it.
-    :param demand: what the stream asks of an engine.
-    :param resumable: whether another engine may resume the stream without.
-    :param is_worth_it: the policy that settings have chosen.
-    :param place: chooses among engines.
-    :returns: the engine, None if there is to be no copy.
+    """Choose the engine that holds the backup of a stream.
+
+    :param candidates: all engines except the engine that runs the stream.
+    :param demand: requirements of the stream.
+    :param resumable: whether another engine can resume without a backup.
+    :param is_worth_it: the configured policy, which decides on the backup.
+    :param place: rule that chooses among engines.
+    :returns: the backup engine, None for no backup.
     """
-    sound = [each for each in candidates if each.failing < MOST_FAILING]
+    healthy = [each for each in candidates if each.failing < MOST_FAILING]
     length = RunLength(
         prompt_tokens=demand.tokens,
         output_tokens=demand.output_tokens,
     )
-    if not sound or not is_worth_it(length, resumable):
+    if not healthy or not is_worth_it(length, resumable):
         return None
-    return place(demand, sound)
+    return place(demand, healthy)
