--- a/tests/test_call_rules.py
+++ b/tests/test_call_rules.py
@@ -1,7 +1,7 @@
-"""The rules of a call over whole tables of cases, against a record of them.
+"""Rules of a call over tables of cases, compared with a golden record.
 
-What a rule says for a case is kept in ``tests/golden/call_rules.json``; a
-change of a rule that is meant changes the record, with its reason.
+The expected results are in ``tests/golden/call_rules.json``; an intended change
+of a rule changes the record too, with its reason.
 """
 
 from __future__ import annotations
@@ -49,8 +49,8 @@
 
 RECORD = pathlib.Path(__file__).parent / 'golden' / 'call_rules.json'
 NOW_MS = 1000
-# An attempt that was held was not sent, so no answer follows from it; it has a
-# test of its own.
+# A deferred attempt was not sent, so it has no final answer; it has a test of
+# its own.
 ENDS = [
     end
     for end in AttemptEnd
@@ -71,7 +71,7 @@
     last_event_id: str | None = None,
     asked: list[str] | None = None,
 ) -> Dispatch:
-    """Make the service of a call in the middle of its attempts."""
+    """Create the dispatch of a call between two attempts."""
     asked = [] if asked is None else asked
     pool = SimpleNamespace(pool='p', weight=1)
     dispatch = Dispatch(
@@ -98,43 +98,43 @@
 
 
 def first_byte_in_ms(start_ms: int, **case: Any) -> int:
-    """Tell how long an attempt may wait for its first byte."""
+    """Return the maximum wait for the first byte of an attempt."""
     outlook = SimpleNamespace(start_ms=start_ms)
     limits = make_dispatch(**case)._limits(outlook)
     return limits.first_byte_ms - NOW_MS
 
 
 def retry_verdict(end: AttemptEnd, **case: Any) -> str:
-    """Tell whether a call is tried again: no, freely or from the budget."""
+    """Return whether a call is retried: no, freely or from the budget."""
     asked: list[str] = []
-    again = make_dispatch(asked=asked, **case)._may_try_again(end)
+    is_retried = make_dispatch(asked=asked, **case)._may_try_again(end)
     if asked:
         return 'b'
-    return 'f' if again else 'n'
+    return 'f' if is_retried else 'n'
 
 
 def final_answer(end: AttemptEnd, run: RunState, left_ms: int) -> list[Any]:
-    """Tell what a call is answered after its last attempt."""
-    return shown(refuse_after(end, run, left_ms))
+    """Return the answer to a call after its last attempt."""
+    return caller_fields(refuse_after(end, run, left_ms))
 
 
 def answer_without_endpoint(run: RunState, left_ms: int) -> list[Any]:
-    """Tell what a call is answered for which no endpoint is left."""
-    return shown(refuse_after(AttemptEnd.not_sent, run, left_ms))
+    """Return the answer to a call for which no endpoint is left."""
+    return caller_fields(refuse_after(AttemptEnd.not_sent, run, left_ms))
 
 
 def answer_when_time_is_over(run: RunState, left_ms: int) -> list[Any]:
-    """Tell what a call is answered whose time is over."""
-    return shown(refuse_after(AttemptEnd.late, run, left_ms))
+    """Return the answer to a call whose deadline has passed."""
+    return caller_fields(refuse_after(AttemptEnd.late, run, left_ms))
 
 
 def answer_without_routes(left_ms: int) -> list[Any]:
-    """Tell what a call is answered before there is a configuration."""
-    return shown(refuse_no_routes(left_ms))
+    """Return the answer to a call before a configuration is loaded."""
+    return caller_fields(refuse_no_routes(left_ms))
 
 
 def early_answer(case: tuple[int, int, int, bool]) -> Any:
-    """Tell what a prompt is answered at once, None if it is admitted."""
+    """Return the early refusal of a prompt, None if it is admitted."""
     start_ms, target_ms, left_ms, urgent = case
     admitted = admit_by_target(
         StartEstimate(
@@ -146,29 +146,29 @@
     )
     if admitted.value_or(0) is None:
         return None
-    return shown(refuse_early(admitted.failure()))
+    return caller_fields(refuse_early(admitted.failure()))
 
 
 def make_endpoint(name: str, pool: str = 'p', **changes: Any) -> PoolEndpoint:
-    """Make an endpoint."""
+    """Create an endpoint."""
     known = {'zone': 'a', 'slots': 1, 'draining': False, **changes}
     return PoolEndpoint(name=name, pool=pool, host='h', port=1, **known)
 
 
-def sound_names(avoided: set[str], out: set[str]) -> list[str]:
-    """Tell which of three endpoints a call may go to."""
+def available_names(tried: set[str], excluded: set[str]) -> list[str]:
+    """Return which of three endpoints a call may be sent to."""
     endpoints = [make_endpoint(name) for name in 'abc']
-    sound = prefer_sound(endpoints, avoided, out.__contains__)
-    return [each.name for each in sound]
+    available = prefer_sound(endpoints, tried, excluded.__contains__)
+    return [each.name for each in available]
 
 
-def narrowed(
+def list_considered(
     endpoints: list[PoolEndpoint],
-    keeping: list[PoolEndpoint],
-    drawn: int = 6,
+    caching: list[PoolEndpoint],
+    sample_size: int = 6,
 ) -> list[PoolEndpoint]:
-    """Choose the endpoints of a pool that are weighed."""
-    return shorten(endpoints, keeping, drawn)
+    """Return the endpoints of a pool that are considered."""
+    return shorten(endpoints, caching, sample_size)
 
 
 def backup_name(
@@ -179,7 +179,7 @@
     output_tokens: int,
     failing: float,
 ) -> str | None:
-    """Tell which engine keeps a copy of a run."""
+    """Return the engine that holds the backup of a run."""
     state = SimpleNamespace(
         routes=SimpleNamespace(pools={'p': SimpleNamespace(backs_up=backs_up)}),
         policies=SimpleNamespace(
@@ -199,8 +199,8 @@
     return chosen.name if chosen else None
 
 
-def shown(refusal: Any) -> list[Any]:
-    """Show what a caller sees of a refusal."""
+def caller_fields(refusal: Any) -> list[Any]:
+    """Return the fields of a refusal that the caller receives."""
     return [
         refusal.status,
         refusal.kind,
@@ -211,7 +211,7 @@
 
 
 def first_byte_table() -> list[int]:
-    """Go through the bounds of an attempt's first byte."""
+    """Return the maximum waits for the first byte for all cases."""
     return [
         first_byte_in_ms(
             start_ms,
@@ -227,7 +227,7 @@
 
 
 def retry_table() -> str:
-    """Go through what may have become of a call's attempts."""
+    """Return the retry verdicts for all ends of an attempt."""
     return ''.join(
         retry_verdict(
             end,
@@ -253,7 +253,7 @@
 
 
 def answer_table() -> list[Any]:
-    """Go through the final answers that are the gateway's own."""
+    """Return all final answers that the gateway creates itself."""
     states = list(itertools.product(RunState, (0, 150, 2000, 9000)))
     return [
         *(final_answer(end, *state) for end in ENDS for state in states),
@@ -264,21 +264,25 @@
 
 
 def early_table() -> list[Any]:
-    """Go through the prompts that may be refused at once."""
+    """Return the early refusals for all cases."""
     cases = itertools.product(
         (0, 500, 501, 3000, 60_000), (500, 2500), (400, 5000), (False, True)
     )
     return [early_answer(case) for case in cases]
 
 
-def sound_table() -> list[list[str]]:
-    """Go through endpoints that were tried or are left out."""
+def available_table() -> list[list[str]]:
+    """Return the available endpoints for all tried and excluded sets."""
     subsets = [set(), {'a'}, {'a', 'b'}, {'a', 'b', 'c'}]
-    return [sound_names(avoided, out) for avoided in subsets for out in subsets]
+    return [
+        available_names(tried, excluded)
+        for tried in subsets
+        for excluded in subsets
+    ]
 
 
 def backup_table() -> list[str | None]:
-    """Go through the runs that may be kept at a second engine."""
+    """Return the backup engines for all cases."""
     cases = itertools.product(
         (False, True), (False, True), (False, True), (499, 500), (0, 0.3, 1)
     )
@@ -293,7 +297,7 @@
     'retry': retry_table,
     'answer': answer_table,
     'early answer': early_table,
-    'sound': sound_table,
+    'sound': available_table,
     'backup': backup_table,
 }
 
@@ -312,7 +316,7 @@
     terms = RetryTerms(idempotent=False, max_attempts=1, resumes=True)
     verdict = judge_retry(AttemptEnd.held, progress, terms)
     assert verdict is RetryVerdict.free
-    # Not so once another endpoint may have run it.
+    # No retry once another endpoint may have run the call.
     progress.note('a', AttemptEnd.lost)
     verdict = judge_retry(AttemptEnd.held, progress, terms)
     assert verdict is RetryVerdict.never
@@ -320,9 +324,9 @@
 
 def test_small_pool_is_weighed_whole():
     endpoints = [make_endpoint(str(number)) for number in range(8)]
-    assert narrowed(endpoints, []) == endpoints
+    assert list_considered(endpoints, []) == endpoints
     endpoints = [make_endpoint(str(number)) for number in range(24)]
-    assert narrowed(endpoints, [], drawn=24) == endpoints
+    assert list_considered(endpoints, [], sample_size=24) == endpoints
 
 
 def test_more_endpoints_are_drawn_for_what_is_short():
@@ -330,28 +334,28 @@
     assert [count_drawn(each) for each in (4097, 17_000)] == [6, 6]
 
 
-@pytest.mark.parametrize('drawn', [6, 24])
-@pytest.mark.parametrize('keepers', [0, 5, 24, 60])
-def test_of_a_large_pool_some_are_weighed(keepers: int, drawn: int):
+@pytest.mark.parametrize('sample_size', [6, 24])
+@pytest.mark.parametrize('caching_count', [0, 5, 24, 60])
+def test_of_a_large_pool_some_are_weighed(caching_count: int, sample_size: int):
     endpoints = [make_endpoint(str(number)) for number in range(200)]
-    keeping = endpoints[:keepers]
-    weighed = narrowed(endpoints, keeping, drawn)
-    names = {each.name for each in weighed}
-    assert len(names) == len(weighed)
-    assert drawn <= len(weighed) <= min(keepers, 6) + drawn
-    kept = [each for each in keeping if each.name in names]
-    assert len(kept) >= min(keepers, 6)
+    caching = endpoints[:caching_count]
+    considered = list_considered(endpoints, caching, sample_size)
+    names = {each.name for each in considered}
+    assert len(names) == len(considered)
+    assert sample_size <= len(considered) <= min(caching_count, 6) + sample_size
+    chosen = [each for each in caching if each.name in names]
+    assert len(chosen) >= min(caching_count, 6)
 
 
 def test_keepers_that_drain_or_are_of_another_pool_are_not_weighed():
     endpoints = [make_endpoint(str(number)) for number in range(100)]
-    odd = [make_endpoint('x', draining=True), make_endpoint('y', pool='q')]
-    names = {each.name for each in narrowed(endpoints, odd)}
+    unusable = [make_endpoint('x', draining=True), make_endpoint('y', pool='q')]
+    names = {each.name for each in list_considered(endpoints, unusable)}
     assert not names & {'x', 'y'}
 
 
 @pytest.mark.parametrize(
-    ('weights', 'drawn'),
+    ('weights', 'expected'),
     [
         ([0], {0}),
         ([0, 0], {0}),
@@ -359,13 +363,13 @@
         ([1, 1], {0, 1}),
     ],
 )
-def test_pools_are_drawn_by_weight(weights: list[int], drawn: set[int]):
+def test_pools_are_drawn_by_weight(weights: list[int], expected: set[int]):
     pools = [
         WeightedPool(pool=str(number), weight=weight)
         for number, weight in enumerate(weights)
     ]
     seen = {int(pick_pool(pools)) for _draw in range(200)}
-    assert seen == drawn
+    assert seen == expected
 
 
 @pytest.mark.parametrize(
--- a/wingfall/gateway/rules/__init__.py
+++ b/wingfall/gateway/rules/__init__.py
@@ -1,6 +1,6 @@
-"""The gateway's decisions: rules over typed inputs, without I/O or logs.
+"""Decision rules of the gateway over typed inputs, without I/O or logging.
 
-What a rule needs is handed to it, with times in milliseconds and lengths in
-tokens. Only the retry budget keeps a state of its own. ``docs/DECISIONS.md``
-lists all of them.
+All inputs of a rule are parameters, with times in milliseconds and lengths in
+tokens. Only the retry budget has a state of its own. ``docs/DECISIONS.md``
+lists all rules.
 """
--- a/wingfall/gateway/rules/placement/pool_choice.py
+++ b/wingfall/gateway/rules/placement/pool_choice.py
@@ -1,4 +1,4 @@
-"""Which of a route's pools serves a call: by the route's weights."""
+"""Choice of the pool that serves a call, by the weights of its route."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def pick_pool(pools: Sequence[WeightedPool]) -> str:
-    """Draw a pool.
+    """Choose a pool at random by weight.
 
     :param pools: the pools of a route, at least one.
     :returns: name of the pool; the first if all weights are zero.
--- a/wingfall/gateway/rules/placement/shortlist.py
+++ b/wingfall/gateway/rules/placement/shortlist.py
@@ -1,11 +1,11 @@
-"""Which endpoints of a pool are weighed when a call is placed.
-
-Answers a crowd at many gateways: what each knows of the others' work is some
-tenths of a second old, so that all would find the same endpoint the best, and
-send to it at once. Where each weighs a few that it draws, they choose unlike.
-That matters for what takes long; a short prompt does little where many meet,
-and finds an engine that reads nothing long among more of them. Engines that
-cache the prompt are weighed as well; what they spare is known.
+"""Endpoints of a pool that are considered when a call is placed.
+
+Prevents many gateways from sending a burst to the same endpoint. The view of
+each of the load from the others is some tenths of a second old, so all would
+rate the same endpoint best; with small random samples they choose different
+endpoints. That matters for long prompts. Short prompts add little load where
+many meet, and a larger sample more likely has an engine without long prefills.
+Engines that cache the prompt are added, since the tokens they save are known.
 """
 
 from __future__ import annotations
@@ -18,96 +18,95 @@
 
     from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 
-# Endpoints of a pool that is weighed whole. A deployment with so few has few
-# gateways, whose news is 0.1 s old: of 5 gateways and engines under a crowd all
-# prompts were on time, whether 3 or all engines were weighed.
-_MOST_WEIGHED: Final = 8
-# Tokens of a prompt that is short: about two pieces that an engine reads at
-# once, so that it holds nothing up for long.
+# Pools of up to this size are considered whole. So small a deployment has few
+# gateways, whose updates are 0.1 s old: with 5 gateways and engines in a burst
+# all prompts were on time, whether 3 or all engines were considered.
+_MAX_WHOLE_POOL_SIZE: Final = 8
+# Maximum length of a short prompt: about two prefill chunks of an engine, so
+# that it delays nothing for long.
 SHORT_PROMPT_TOKENS: Final = 4096
-# Endpoints that are drawn for a long prompt, and for a short one or a plain
-# request.
-_DRAWN_LONG: Final = 6
-_DRAWN_SHORT: Final = 24
-# Endpoints that cache a part of the prompt: few for the same reason, since many
-# engines may cache a part that is asked for often.
-_MOST_CACHING: Final = 6
+# Sample size for a long prompt, and for a short prompt or a plain request.
+_LONG_PROMPT_SAMPLE_SIZE: Final = 6
+_SHORT_PROMPT_SAMPLE_SIZE: Final = 24
+# Maximum number of added endpoints that cache a part of the prompt: few for the
+# same reason as the sample, since many engines may cache a frequent part.
+_MAX_CACHE_HOLDERS: Final = 6
 
 
 def count_drawn(prompt_tokens: int) -> int:
-    """Tell how many endpoints of a large pool are drawn for a call.
+    """Return the sample size for a call in a large pool.
 
-    :param prompt_tokens: length of its prompt, 0 without one.
-    :returns: how many.
+    :param prompt_tokens: length of the prompt, 0 without one.
+    :returns: number of endpoints.
     """
-    long = prompt_tokens > SHORT_PROMPT_TOKENS
-    return _DRAWN_LONG if long else _DRAWN_SHORT
+    is_long = prompt_tokens > SHORT_PROMPT_TOKENS
+    return _LONG_PROMPT_SAMPLE_SIZE if is_long else _SHORT_PROMPT_SAMPLE_SIZE
 
 
-def is_weighed_whole(endpoints: list[PoolEndpoint], drawn: int) -> bool:
-    """Tell whether all endpoints of a pool are weighed.
+def is_weighed_whole(endpoints: list[PoolEndpoint], sample_size: int) -> bool:
+    """Check if all endpoints of a pool are considered.
 
-    :param endpoints: endpoints of the pool that take new work.
-    :param drawn: how many would be drawn of a larger pool.
-    :returns: whether none is left out.
+    :param endpoints: endpoints of the pool that accept new work.
+    :param sample_size: sample size for a larger pool.
+    :returns: whether no endpoint is left out.
     """
-    return len(endpoints) <= max(drawn, _MOST_WEIGHED)
+    return len(endpoints) <= max(sample_size, _MAX_WHOLE_POOL_SIZE)
 
 
 def shorten(
     endpoints: list[PoolEndpoint],
     caching: list[PoolEndpoint],
-    drawn: int,
+    sample_size: int,
 ) -> list[PoolEndpoint]:
-    """Shorten the list of a large pool.
+    """Select a random sample of a large pool and endpoints with cached parts.
 
-    :param endpoints: endpoints of the pool that take new work.
-    :param caching: endpoints that cache the most of the prompt, of any pool.
-    :param drawn: how many are drawn.
-    :returns: those to be weighed, all of a small pool.
+    :param endpoints: endpoints of the pool that accept new work.
+    :param caching: endpoints of any pool that cache the most of the prompt.
+    :param sample_size: number of endpoints to draw.
+    :returns: the endpoints to consider, all of a small pool.
     """
-    if is_weighed_whole(endpoints, drawn):
+    if is_weighed_whole(endpoints, sample_size):
         return endpoints
-    chosen = random.sample(endpoints, drawn)
+    chosen = random.sample(endpoints, sample_size)
     pool = endpoints[0].pool
-    useful = [
+    holders = [
         each for each in caching if each.pool == pool and not each.draining
     ]
-    if len(useful) > _MOST_CACHING:
-        useful = random.sample(useful, _MOST_CACHING)
-    return list({each.name: each for each in (*useful, *chosen)}.values())
+    if len(holders) > _MAX_CACHE_HOLDERS:
+        holders = random.sample(holders, _MAX_CACHE_HOLDERS)
+    return list({each.name: each for each in (*holders, *chosen)}.values())
 
 
 def prefer_sound(
     endpoints: list[PoolEndpoint],
-    avoided: Collection[str],
-    is_out: Callable[[str], bool],
+    tried: Collection[str],
+    is_excluded: Callable[[str], bool],
 ) -> list[PoolEndpoint]:
-    """Leave out endpoints that a call should not go to.
+    """Return the available endpoints, or else all endpoints not yet tried.
 
     :param endpoints: the endpoints.
-    :param avoided: names of those that the call was sent to before.
-    :param is_out: whether an endpoint is left out for a while.
-    :returns: those not tried and not left out; where none is, those not tried.
+    :param tried: names of endpoints that the call was already sent to.
+    :param is_excluded: whether an endpoint is excluded for a while.
+    :returns: untried endpoints, those that are not excluded if there are any.
     """
-    sound = list_sound(endpoints, avoided, is_out)
-    return sound or [each for each in endpoints if each.name not in avoided]
+    available = list_sound(endpoints, tried, is_excluded)
+    return available or [each for each in endpoints if each.name not in tried]
 
 
 def list_sound(
     endpoints: list[PoolEndpoint],
-    avoided: Collection[str],
-    is_out: Callable[[str], bool],
+    tried: Collection[str],
+    is_excluded: Callable[[str], bool],
 ) -> list[PoolEndpoint]:
-    """List the endpoints that a call may go to without a doubt.
+    """Return the endpoints that are neither tried nor excluded.
 
     :param endpoints: the endpoints.
-    :param avoided: names of those that the call was sent to before.
-    :param is_out: whether an endpoint is left out for a while.
-    :returns: those not tried and not left out.
+    :param tried: names of endpoints that the call was already sent to.
+    :param is_excluded: whether an endpoint is excluded for a while.
+    :returns: the available endpoints.
     """
     return [
         each
         for each in endpoints
-        if each.name not in avoided and not is_out(each.name)
+        if each.name not in tried and not is_excluded(each.name)
     ]
--- a/wingfall/gateway/rules/planned_stop.py
+++ b/wingfall/gateway/rules/planned_stop.py
@@ -1,7 +1,8 @@
-"""How a gateway uses the time of a planned stop.
+"""Time schedule for the planned stop of a gateway.
 
-It fails its readiness check at once and serves on until the load balancer has
-noticed; then it takes no new connections, closes idle ones, and ends what runs.
+The gateway fails its readiness check at once and serves until the load balancer
+has detected this; then it accepts no new connections, closes idle connections,
+and ends running calls.
 """
 
 from __future__ import annotations
@@ -10,24 +11,24 @@
 
 from wingfall.clock import MS_PER_S
 
-# Milliseconds of further service. The load balancer asks each second and gives
-# a gateway up after two failures, which it has noticed by then.
-_NOTICE_MS: Final = 2600
-# Milliseconds kept for ending the process, so that the process has ended by
-# itself before it is killed.
+# Service time after the readiness check fails. The load balancer polls each
+# second and removes a gateway after two failures, which have occurred by then.
+_DETECTION_MS: Final = 2600
+# Time reserved for the exit of the process, so that it ends by itself before it
+# is killed.
 _EXIT_MS: Final = 700
 
 
 @final
 class StopSchedule:
-    """The two bounds of a planned stop, in milliseconds from its beginning."""
+    """Time limits of a planned stop, in milliseconds from its beginning."""
 
     __slots__ = ('end_ms', 'serve_ms')
 
     def __init__(self, *, stop_s: float) -> None:
-        """Divide the time of a stop.
+        """Compute the schedule.
 
         :param stop_s: seconds after which the process must have ended.
         """
         self.end_ms = int(stop_s * MS_PER_S) - _EXIT_MS
-        self.serve_ms = min(_NOTICE_MS, self.end_ms)
+        self.serve_ms = min(_DETECTION_MS, self.end_ms)
--- a/wingfall/gateway/rules/policies.py
+++ b/wingfall/gateway/rules/policies.py
@@ -1,6 +1,6 @@
-"""The rules that settings choose by name, one of each kind.
+"""Policies that are selected by name in the settings, one of each kind.
 
-Each kind has a registry beside its rules; baselines stay selectable.
+Each kind has a registry in the module of its rules; baselines stay selectable.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 @final
 class Policies:
-    """One rule of each kind."""
+    """The selected policy of each kind."""
 
     __slots__ = (
         'admission',
@@ -67,17 +67,17 @@
         read_rates: RatesFactory,
         start_estimates: StartEstimatesFactory,
     ) -> None:
-        """Join the rules.
+        """Initialize the policies.
 
         :param placement: chooses endpoints.
         :param admission: refuses prompts that would start too late.
-        :param cache_transfer: tells from where engines copy cached parts.
-        :param shared_read: tells how long prompts wait for a shared part.
-        :param stream_backup: tells which streams a second engine backs up.
+        :param cache_transfer: chooses the engine to copy cached parts from.
+        :param shared_read: returns how long prompts wait for a shared part.
+        :param stream_backup: decides which streams a second engine backs up.
         :param rate_share: divides the limits of endpoints among gateways.
-        :param engine_groups: keeps engines for streams with short gaps.
-        :param read_rates: makes what learns how fast engines read.
-        :param start_estimates: makes what corrects estimates of first events.
+        :param engine_groups: reserves engines for streams with short gaps.
+        :param read_rates: creates the estimator of prefill rates.
+        :param start_estimates: creates the corrector of first event estimates.
         """
         self.placement = placement
         self.admission = admission
@@ -91,10 +91,10 @@
 
 
 def find_policies(names: SimpleNamespace) -> Result[Policies, str]:
-    """Find the rules that settings name.
+    """Return the policies that are selected in the settings.
 
     :param names: section ``policy`` of the settings.
-    :returns: the rules, or a sentence with the names there are.
+    :returns: the policies, or a message with the valid names.
     """
     found = {
         'placement': placements.find(names.placement),
