--- a/wingfall/gateway/rules/placement/candidate.py
+++ b/wingfall/gateway/rules/placement/candidate.py
@@ -69,9 +69,9 @@
         :param streams: number of running streams by their token gap bound in
             milliseconds.
         :param speed: measured prefill rate and token gaps.
-        :param long_reads: tokens of long prefills sent to it recently.
-        :param unseen_tokens: estimate of tokens sent to it by other gateways
-            and not yet reported.
+        :param long_reads: tokens of long prefills sent recently.
+        :param unseen_tokens: estimate of tokens that other gateways sent
+            but have not reported yet.
         :param failing: fraction of its requests that fail, 0 to 1.
         :param safe_gap_ms: the shortest token gap bound that is met during
             continuous prefill, None if unknown.
