--- a/tests/test_call_rules.py
+++ b/tests/test_call_rules.py
@@ -177,7 +177,7 @@
     streaming: bool,
     resumable: bool,
     output_tokens: int,
-    failing: float,
+    failure_rate: float,
 ) -> str | None:
     """Return the engine that holds the backup of a run."""
     state = SimpleNamespace(
@@ -190,7 +190,7 @@
     route = SimpleNamespace(streaming=streaming, resumable=resumable)
     demand = Demand(is_prompt=True, tokens=1000, output_tokens=output_tokens)
     candidates = [
-        Candidate(name='failing', failing=failing),
+        Candidate(name='failing', failing=failure_rate),
         Candidate(name='busy', running=10, reading_tokens=500),
     ]
     chosen = destination._choose_backup(
@@ -286,7 +286,13 @@
     cases = itertools.product(
         (False, True), (False, True), (False, True), (499, 500), (0, 0.3, 1)
     )
-    names = ('backs_up', 'streaming', 'resumable', 'output_tokens', 'failing')
+    names = (
+        'backs_up',
+        'streaming',
+        'resumable',
+        'output_tokens',
+        'failure_rate',
+    )
     return [
         backup_name(**dict(zip(names, case, strict=True))) for case in cases
     ]
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -98,9 +98,9 @@
 
 def test_plain_request_avoids_an_endpoint_that_fails():
     demand = Demand()
-    failing = Candidate(name='failing', slots=6, failing=0.5)
+    faulty = Candidate(name='failing', slots=6, failing=0.5)
     busy = Candidate(name='busy', slots=6, running=4)
-    assert choose(demand, failing, busy) == 'busy'
+    assert choose(demand, faulty, busy) == 'busy'
 
 
 def test_baseline_counts_only_what_runs():
