--- a/wingfall/gateway/rules/placement/endpoint_choice.py
+++ b/wingfall/gateway/rules/placement/endpoint_choice.py
@@ -2,8 +2,8 @@
 
 The cost of an engine is in prefill tokens: uncached tokens of this request,
 pending prefill tokens ahead of it, and a penalty for each stream that the
-choice would likely make late, whether of this request or of another one that is
-delayed by a long prefill. The rules are pure functions.
+choice would likely make late: of this request, or of another one delayed by a
+long prefill. The rules are pure functions.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 _COPIED_WEIGHT: Final = 5
 # Weight of the tokens of a shared part that are prefilled although another
 # engine caches them: higher than for a copy, so that copies are preferred.
-_REPEATED_PREFILL_WEIGHT: Final = 6
+_RECOMPUTED_WEIGHT: Final = 6
 # Cost of each running request, so that equal engines are loaded evenly.
-_TOKENS_PER_RUNNING_REQUEST: Final = 150
+_RUNNING_COST_TOKENS: Final = 150
 # Cost of each body byte sent to another availability zone. A body of 18 kB
 # counts as 2,700 tokens.
 _TOKENS_PER_REMOTE_BYTE: Final = 0.15
@@ -110,10 +110,10 @@
     reused = candidate.cached_tokens + candidate.copied_tokens
     uncached_shared = demand.shared_tokens - reused
     uncached = demand.tokens - reused
-    cost = uncached_shared * _REPEATED_PREFILL_WEIGHT
+    cost = uncached_shared * _RECOMPUTED_WEIGHT
     cost += candidate.copied_tokens * _COPIED_WEIGHT
     cost += candidate.reading_tokens + candidate.unseen_tokens
-    cost += candidate.running * _TOKENS_PER_RUNNING_REQUEST
+    cost += candidate.running * _RUNNING_COST_TOKENS
     cost += late_streams(demand, candidate, uncached) * _LATE_GAP_COST_TOKENS
     cost += late_start(demand, candidate, uncached) * _LATE_START_COST_TOKENS
     cost += candidate.all_cached_tokens * _CACHED_TOKEN_WEIGHT
--- a/wingfall/gateway/rules/placement/shortlist.py
+++ b/wingfall/gateway/rules/placement/shortlist.py
@@ -1,11 +1,11 @@
 """Endpoints of a pool that are considered when a call is placed.
 
-Prevents many gateways from sending a burst to the same endpoint. The view of
-each of the load from the others is some tenths of a second old, so all would
-rate the same endpoint best; with small random samples they choose different
-endpoints. That matters for long prompts. Short prompts add little load where
-many meet, and a larger sample more likely has an engine without long prefills.
-Engines that cache the prompt are added, since the tokens they save are known.
+Prevents a burst from many gateways to one endpoint. What they know of each
+other's load is some tenths of a second old, so all would rate the same endpoint
+best; with small random samples they choose different ones. That matters for
+long prompts. Short prompts add little load where many meet, and a larger sample
+more likely has an engine without long prefills. Engines that cache the prompt
+are added, since the tokens they save are known.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 # Pools of up to this size are considered whole. So small a deployment has few
 # gateways, whose updates are 0.1 s old: with 5 gateways and engines in a burst
 # all prompts were on time, whether 3 or all engines were considered.
-_MAX_WHOLE_POOL_SIZE: Final = 8
+_MAX_WHOLE_SIZE: Final = 8
 # Maximum length of a short prompt: about two prefill chunks of an engine, so
 # that it delays nothing for long.
 SHORT_PROMPT_TOKENS: Final = 4096
 # Sample size for a long prompt, and for a short prompt or a plain request.
-_LONG_PROMPT_SAMPLE_SIZE: Final = 6
-_SHORT_PROMPT_SAMPLE_SIZE: Final = 24
+_LONG_SAMPLE_SIZE: Final = 6
+_SHORT_SAMPLE_SIZE: Final = 24
 # Maximum number of added endpoints that cache a part of the prompt: few for the
 # same reason as the sample, since many engines may cache a frequent part.
 _MAX_CACHE_HOLDERS: Final = 6
@@ -40,7 +40,7 @@
     :returns: number of endpoints.
     """
     is_long = prompt_tokens > SHORT_PROMPT_TOKENS
-    return _LONG_PROMPT_SAMPLE_SIZE if is_long else _SHORT_PROMPT_SAMPLE_SIZE
+    return _LONG_SAMPLE_SIZE if is_long else _SHORT_SAMPLE_SIZE
 
 
 def is_weighed_whole(endpoints: list[PoolEndpoint], sample_size: int) -> bool:
@@ -50,7 +50,7 @@
     :param sample_size: sample size for a larger pool.
     :returns: whether no endpoint is left out.
     """
-    return len(endpoints) <= max(sample_size, _MAX_WHOLE_POOL_SIZE)
+    return len(endpoints) <= max(sample_size, _MAX_WHOLE_SIZE)
 
 
 def shorten(
@@ -85,9 +85,9 @@
     """Return the available endpoints, or else all endpoints not yet tried.
 
     :param endpoints: the endpoints.
-    :param tried: names of endpoints that the call was already sent to.
+    :param tried: names of endpoints that the call was sent to.
     :param is_excluded: whether an endpoint is excluded for a while.
-    :returns: untried endpoints, those that are not excluded if there are any.
+    :returns: untried endpoints, without excluded ones if possible.
     """
     available = list_sound(endpoints, tried, is_excluded)
     return available or [each for each in endpoints if each.name not in tried]
@@ -101,7 +101,7 @@
     """Return the endpoints that are neither tried nor excluded.
 
     :param endpoints: the endpoints.
-    :param tried: names of endpoints that the call was already sent to.
+    :param tried: names of endpoints that the call was sent to.
     :param is_excluded: whether an endpoint is excluded for a while.
     :returns: the available endpoints.
     """
