--- a/tests/test_fair_admission.py
+++ b/tests/test_fair_admission.py
@@ -1,4 +1,4 @@
-"""Which prompts are refused by the pool's room and their customer's share."""
+"""Tests of admission by the free capacity of a pool and customers' shares."""
 
 from __future__ import annotations
 
@@ -29,123 +29,125 @@
 from wingfall.gateway.rules.admission.retry_after import spread_ms
 
 TARGET_MS = 1200
-# Tokens that an unseen engine reads in a millisecond.
-RATE = 25
+# Prefill rate of an engine without samples, in tokens per millisecond.
+PREFILL_RATE = 25
 PROMPT_TOKENS = 5000
 
 
-def estimate(start_ms: float, **changes: Any) -> StartEstimate:
-    """Make the estimate of a fresh prompt that isn't urgent."""
-    known = {
+def make_estimate(start_ms: float, **changes: Any) -> StartEstimate:
+    """Return the estimate for a new prompt of a tier that is not urgent."""
+    defaults = {
         'target_ms': TARGET_MS,
         'left_ms': 8000,
         'urgent': False,
         **changes,
     }
-    return StartEstimate(start_ms=start_ms, **known)
+    return StartEstimate(start_ms=start_ms, **defaults)
 
 
-def admitted(start_ms: float, **changes: Any) -> bool:
-    """Tell whether a prompt is admitted."""
-    return isinstance(admit_fairly(estimate(start_ms, **changes)), Success)
+def is_admitted(start_ms: float, **changes: Any) -> bool:
+    """Check if a prompt is admitted."""
+    return isinstance(admit_fairly(make_estimate(start_ms, **changes)), Success)
 
 
-def retry_ms(start_ms: float, **changes: Any) -> int:
-    """Tell when a refused prompt may come back."""
-    return admit_fairly(estimate(start_ms, **changes)).failure()
+def retry_delay_ms(start_ms: float, **changes: Any) -> int:
+    """Return the retry delay of a refused prompt in milliseconds."""
+    return admit_fairly(make_estimate(start_ms, **changes)).failure()
 
 
 def test_customer_within_its_share_meets_the_whole_target():
-    assert admitted(TARGET_MS, use=0.3)
-    assert admitted(TARGET_MS, use=1)
-    assert not admitted(TARGET_MS + 1, use=1)
+    assert is_admitted(TARGET_MS, use=0.3)
+    assert is_admitted(TARGET_MS, use=1)
+    assert not is_admitted(TARGET_MS + 1, use=1)
 
 
 def test_bound_is_shorter_the_further_above_the_share():
-    bounds = [fair_bound_ms(estimate(0, use=use)) for use in (1, 1.5, 2, 4, 40)]
+    bounds = [
+        fair_bound_ms(make_estimate(0, use=use)) for use in (1, 1.5, 2, 4, 40)
+    ]
     assert bounds == [1200, 800, 600, 300, 300]
 
 
 def test_customer_above_its_share_is_served_while_engines_run_out_of_work():
-    assert admitted(700, use=10, alone_ms=650)
-    assert not admitted(800, use=10, alone_ms=650)
-    # Not beyond what all must meet.
-    assert not admitted(TARGET_MS + 10, use=10, alone_ms=TARGET_MS)
+    assert is_admitted(700, use=10, alone_ms=650)
+    assert not is_admitted(800, use=10, alone_ms=650)
+    # The bound for all customers still applies.
+    assert not is_admitted(TARGET_MS + 10, use=10, alone_ms=TARGET_MS)
 
 
 def test_prompt_is_not_refused_for_its_own_length():
-    assert admitted(5000, use=10, alone_ms=5000)
-    assert not admitted(5001, alone_ms=5000)
+    assert is_admitted(5000, use=10, alone_ms=5000)
+    assert not is_admitted(5001, alone_ms=5000)
 
 
 def test_no_tier_is_behind_a_lower_one():
-    assert admitted(TARGET_MS, lowest=False, use=40)
-    assert not admitted(TARGET_MS + 1, lowest=False, use=40)
+    assert is_admitted(TARGET_MS, lowest=False, use=40)
+    assert not is_admitted(TARGET_MS + 1, lowest=False, use=40)
 
 
 def test_most_urgent_tier_is_refused_last():
-    assert admitted(4000, urgent=True)
-    assert not admitted(4000, urgent=True, use=4)
-    assert admitted(TARGET_MS, urgent=True, lowest=False, use=40)
+    assert is_admitted(4000, urgent=True)
+    assert not is_admitted(4000, urgent=True, use=4)
+    assert is_admitted(TARGET_MS, urgent=True, lowest=False, use=40)
 
 
 def test_bound_is_met_by_three_in_four_starts():
     error = StartError(median=0.5, worst_tenth=0.72)
     margin = start_margin(error)
     assert margin == pytest.approx(1.2)
-    assert admitted(TARGET_MS / margin, margin=margin)
-    assert not admitted(TARGET_MS / margin + 1, margin=margin)
-    assert admitted(TARGET_MS / margin, margin=margin, lowest=False, use=40)
+    assert is_admitted(TARGET_MS / margin, margin=margin)
+    assert not is_admitted(TARGET_MS / margin + 1, margin=margin)
+    assert is_admitted(TARGET_MS / margin, margin=margin, lowest=False, use=40)
 
 
 def test_margin_is_bounded_and_none_before_anything_was_learned():
     assert start_margin(None) == 1
-    most = start_margin(StartError(median=0.1, worst_tenth=9))
-    assert most == pytest.approx(1.5)
+    max_margin = start_margin(StartError(median=0.1, worst_tenth=9))
+    assert max_margin == pytest.approx(1.5)
 
 
 def test_prompt_that_would_end_after_its_caller_left_is_refused():
-    assert admitted(500, stream_ms=7500)
-    assert not admitted(500, stream_ms=7501)
+    assert is_admitted(500, stream_ms=7500)
+    assert not is_admitted(500, stream_ms=7501)
 
 
 def test_reasons():
-    assert tell_reason(estimate(TARGET_MS + 1, use=2)) == 'no_room'
-    assert tell_reason(estimate(TARGET_MS, use=2)) == 'over_share'
-    assert tell_reason(estimate(500, stream_ms=9000)) == 'ends_late'
+    assert tell_reason(make_estimate(TARGET_MS + 1, use=2)) == 'no_room'
+    assert tell_reason(make_estimate(TARGET_MS, use=2)) == 'over_share'
+    assert tell_reason(make_estimate(500, stream_ms=9000)) == 'ends_late'
 
 
 def test_caller_may_come_back_when_half_of_the_target_is_left_to_read():
-    assert retry_ms(2000) == 1400
+    assert retry_delay_ms(2000) == 1400
 
 
 def test_customer_above_its_share_comes_back_later():
-    # A queue of half of its bound, and as much longer as it is above its share.
-    assert retry_ms(2000, use=2) == 3400
-    assert retry_ms(2000, use=40, left_ms=5000) == 5000
+    # The delay until the queue is half of the bound, times the relative use.
+    assert retry_delay_ms(2000, use=2) == 3400
+    assert retry_delay_ms(2000, use=40, left_ms=5000) == 5000
 
 
 def test_callers_that_are_told_together_come_back_apart():
-    told = [spread_ms(1000, 8000, draw / 10) for draw in range(11)]
-    assert told[0] == 1000
-    assert told[-1] == 1200
-    assert len(set(told)) == 11
+    delays_ms = [spread_ms(1000, 8000, draw / 10) for draw in range(11)]
+    assert delays_ms[0] == 1000
+    assert delays_ms[-1] == 1200
+    assert len(set(delays_ms)) == 11
 
 
 def test_nobody_is_told_to_come_back_after_the_time_is_over():
-    told = [spread_ms(5000, 3000, draw) for draw in (0, 0.5, 1)]
-    assert len(set(told)) == 3
-    assert max(told) <= 3000
+    delays_ms = [spread_ms(5000, 3000, draw) for draw in (0, 0.5, 1)]
+    assert len(set(delays_ms)) == 3
+    assert max(delays_ms) <= 3000
 
 
 class Pool:
-    """A gateway and four engines of its pool."""
+    """A gateway and the engines of its pool."""
 
     def __init__(self, *, admission: str = 'fair', engines: int = 4) -> None:
-        """Start without work.
+        """Create a pool without work.
 
-        :param admission: name of the rule.
-        :param engines: how many there are.
+        :param admission: name of the admission rule.
+        :param engines: number of engines.
         """
         clock = ManualClock(start_ms=1000)
         self.gateway = ReplayedGateway(
@@ -170,122 +172,126 @@
                 )
             )
 
-    def fill(self, wait_ms: int, *names: str) -> None:
-        """Have prompts wait at engines."""
+    def queue(self, wait_ms: int, *names: str) -> None:
+        """Queue prompts with the given wait at engines."""
         for name in names:
-            load = EndpointLoad(running=1, reading_tokens=wait_ms * RATE)
+            load = EndpointLoad(
+                running=1, reading_tokens=wait_ms * PREFILL_RATE
+            )
             self.knowledge.load.start(name, load)
 
-    def note_hot(self, customer: str) -> None:
-        """Have a customer ask for far more than its share."""
+    def note_heavy_use(self, customer: str) -> None:
+        """Record a customer that asks for far more than its share."""
         for name, asked in ((customer, 1_200_000), ('bryn', 100_000)):
             work = Work(asked=asked, given=asked / 2)
             self.knowledge.customer_work.note(POOL, name, work)
 
     def admit(self, customer: str = 'aker', chosen: str = 'e1') -> Any:
-        """Ask for a prompt that placement would send to one engine."""
+        """Return the outcome for a prompt that is placed at one engine."""
         part = PromptPart(part_id='own', tokens=PROMPT_TOKENS)
-        kind = SimpleNamespace(
+        request_kind = SimpleNamespace(
             target_ms=TARGET_MS, deadline_ms=8000, gap_ms=800, urgent=False
         )
-        arrived = ReplayedCall(
-            kind=kind,
+        replayed = ReplayedCall(
+            kind=request_kind,
             gateway=self.gateway,
             prompt=Prompt(parts=(part,), output_tokens=100),
             customer=customer,
             now_ms=self.gateway.state.clock.now_ms(),
         )
-        state, call = self.gateway.state, arrived.call
+        state, call = self.gateway.state, replayed.call
         endpoint = self.knowledge.table.find(chosen)
         destination = choose_among(state, call, POOL, [endpoint])
         outcome = admit_prompt(state, call, POOL, destination)
         return outcome.value_or(None) or outcome.failure()
 
 
-def engine(outcome: Destination) -> str:
-    """Name the engine that a prompt goes to."""
+def engine_name(outcome: Destination) -> str:
+    """Return the name of the engine that a prompt is sent to."""
     return outcome.endpoint.name
 
 
 def test_prompt_goes_to_an_engine_that_begins_in_time():
     pool = Pool()
-    pool.fill(2000, 'e1', 'e2', 'e4')
-    assert engine(pool.admit(chosen='e1')) == 'e3'
+    pool.queue(2000, 'e1', 'e2', 'e4')
+    assert engine_name(pool.admit(chosen='e1')) == 'e3'
 
 
 def test_chosen_engine_that_is_in_time_stays_chosen():
     pool = Pool()
-    pool.fill(900, 'e1')
-    assert engine(pool.admit(chosen='e1')) == 'e1'
+    pool.queue(900, 'e1')
+    assert engine_name(pool.admit(chosen='e1')) == 'e1'
 
 
 def test_prompt_is_refused_only_if_no_engine_is_in_time():
     pool = Pool()
-    pool.fill(2000, 'e1', 'e2', 'e4')
-    pool.fill(1100, 'e3')
+    pool.queue(2000, 'e1', 'e2', 'e4')
+    pool.queue(1100, 'e3')
     refusal = pool.admit(chosen='e1')
     assert isinstance(refusal, Refusal)
-    # By the engine that begins soonest: 1300 ms, half of the target less.
+    # By the earliest start at any engine: 1300 ms, less half of the target.
     assert 700 <= refusal.retry_after_ms <= 840
 
 
 @pytest.mark.parametrize('admission', ['target', 'always'])
 def test_baselines_ask_no_other_engine(admission: str):
     pool = Pool(admission=admission)
-    pool.fill(2000, 'e1')
+    pool.queue(2000, 'e1')
     outcome = pool.admit(chosen='e1')
     assert isinstance(outcome, Refusal) == (admission == 'target')
 
 
 def test_share_does_not_move_a_prompt_from_an_engine_in_time():
     pool = Pool()
-    pool.note_hot('hot')
-    pool.fill(700, 'e1', 'e2', 'e4')
-    assert engine(pool.admit('hot', chosen='e1')) == 'e1'
+    pool.note_heavy_use('hot')
+    pool.queue(700, 'e1', 'e2', 'e4')
+    assert engine_name(pool.admit('hot', chosen='e1')) == 'e1'
 
 
 @pytest.mark.parametrize('admission', ['target', 'always'])
 def test_baselines_tell_nothing_of_customers(admission: str):
     pool = Pool(admission=admission)
-    assert engine(pool.admit(chosen='e1')) == 'e1'
+    assert engine_name(pool.admit(chosen='e1')) == 'e1'
     assert not pool.knowledge.customer_work.take_untold()
 
 
 def test_engine_that_is_left_out_gives_no_room():
     pool = Pool()
-    pool.fill(2000, 'e1', 'e2', 'e4')
+    pool.queue(2000, 'e1', 'e2', 'e4')
     pool.knowledge.health.note_unreachable('e3')
     assert isinstance(pool.admit(chosen='e1'), Refusal)
 
 
 def test_customer_above_its_share_is_refused_where_others_are_not():
     pool = Pool()
-    pool.note_hot('hot')
-    pool.fill(700, 'e1', 'e2', 'e3', 'e4')
+    pool.note_heavy_use('hot')
+    pool.queue(700, 'e1', 'e2', 'e3', 'e4')
     assert isinstance(pool.admit('hot'), Refusal)
     assert isinstance(pool.admit('bryn'), Destination)
 
 
 def test_asked_work_is_counted_once_and_also_if_refused():
     pool = Pool()
-    pool.fill(2000, 'e1', 'e2', 'e3', 'e4')
+    pool.queue(2000, 'e1', 'e2', 'e3', 'e4')
     assert isinstance(pool.admit('hot'), Refusal)
-    (told,) = pool.knowledge.customer_work.take_untold()
-    assert told[:2] == [POOL, 'hot']
-    assert told[2] > PROMPT_TOKENS
-    assert told[3] == 0
+    (entry,) = pool.knowledge.customer_work.take_untold()
+    assert entry[:2] == [POOL, 'hot']
+    assert entry[2] > PROMPT_TOKENS
+    assert entry[3] == 0
 
 
 def test_prompts_that_nothing_caches_spread_over_engines_in_time():
     pool = Pool(engines=21)
-    pool.fill(2000, 'e1')
-    chosen = Counter(engine(pool.admit(chosen='e1')) for _prompt in range(200))
+    pool.queue(2000, 'e1')
+    chosen = Counter(
+        engine_name(pool.admit(chosen='e1')) for _prompt in range(200)
+    )
     assert max(chosen.values()) < 40
 
 
 def test_small_pool_is_asked_for_no_other_engine():
     pool = Pool()
     pool.knowledge._large_pool = 5
-    pool.fill(2000, 'e1')
+    pool.queue(2000, 'e1')
     assert isinstance(pool.admit(chosen='e1'), Refusal)
     assert not pool.knowledge.customer_work.take_untold()
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -1,4 +1,4 @@
-"""Shares of a pool's work, and who is above its share."""
+"""Tests of the fair shares of a pool's work and of relative use."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     FairShares,
     PoolShares,
     fair_share,
-    use_over_share,
+    relative_use,
     work_done,
 )
 
@@ -28,24 +28,24 @@
 POOL = 'engines'
 USUAL = ('aker', 'bryn', 'drammen', 'ekeberg')
 HOT = 'hot'
-# Tokens that each customer asks in a tenth of a second, and how many times as
-# much the hot one asks.
-USUAL_TOKENS = 1000
-TIMES = 12
-# It asks for twelve and is given four, all that is left of eight.
+# Tokens that each usual customer asks in a tenth of a second, and the factor by
+# which the hot customer asks more.
+USUAL_TICK_TOKENS = 1000
+HOT_FACTOR = 12
+# The hot customer asks for twelve parts and is given four, the rest of eight.
 HOT_USE = math.sqrt(12 * 4) / 4
 TICK_MS = 100
-# Ticks after which fading sums are as they stay.
-LONG = 100
+# Ticks after which decaying sums have converged.
+CONVERGED_TICKS = 100
 
 
 class Gateway:
-    """What one gateway knows of customers' work."""
+    """Knowledge of one gateway of customers' work."""
 
     def __init__(self, *, clock: ManualClock) -> None:
-        """Start without work.
+        """Create a gateway without work.
 
-        :param clock: the time.
+        :param clock: source of the current time.
         """
         self.knowledge = EndpointKnowledge(clock=clock)
         self.shares = FairShares(clock=clock, knowledge=self.knowledge)
@@ -61,57 +61,57 @@
         self.knowledge.table.put(engine)
         self.ask('long ago', 0, 0)
 
-    def ask(self, customer: str, asked: float, given_part: float) -> None:
-        """Have a customer ask for work."""
-        work = Work(asked=asked, given=asked * given_part)
+    def ask(self, customer: str, asked: float, given_fraction: float) -> None:
+        """Record work that a customer asks for."""
+        work = Work(asked=asked, given=asked * given_fraction)
         self.knowledge.customer_work.note(POOL, customer, work)
 
-    def use(self, customer: str) -> float:
-        """Tell how far a customer is above its share."""
+    def relative_use(self, customer: str) -> float:
+        """Return the use of a customer as a multiple of its share."""
         return self.shares.find(POOL).use(customer)
 
 
 class Site:
-    """Gateways that tell each other of work."""
+    """Gateways that report work to each other."""
 
     def __init__(self, *, gateways: int) -> None:
-        """Start them.
+        """Create the gateways.
 
-        :param gateways: how many.
+        :param gateways: number of gateways.
         """
         self.clock = ManualClock(start_ms=1000)
         self.gateways = [
             Gateway(clock=self.clock) for _number in range(gateways)
         ]
-        # Gateways that tell nothing of work.
+        # Gateways that report no work.
         self.silent: list[Gateway] = []
-        # Which gateways hear each other.
-        self.parts = [self.gateways]
+        # Groups of gateways that receive reports of each other.
+        self.groups = [self.gateways]
 
-    def run(self, ticks: int = LONG) -> None:
-        """Let customers ask at all gateways, with room for half of it."""
+    def run(self, ticks: int = CONVERGED_TICKS) -> None:
+        """Run customers at all gateways; half of the asked work is done."""
         for _tick in range(ticks):
             self.clock.advance(TICK_MS)
             for gateway in self.gateways:
                 for customer in USUAL:
-                    gateway.ask(customer, USUAL_TOKENS, 1)
-                # Eight of sixteen parts are done, four of them for the others.
-                gateway.ask(HOT, USUAL_TOKENS * TIMES, 1 / 3)
-            self.tell()
-
-    def tell(self) -> None:
-        """Let each tell the others what they have not heard of."""
-        for part, one in self._all():
-            untold = one.knowledge.customer_work.take_untold()
-            told = Activity(work=[] if one in self.silent else untold)
-            for other in part:
-                if other is not one:
-                    note_activity(told, other.knowledge)
-
-    def _all(self) -> Iterator[tuple[list[Gateway], Gateway]]:
-        for part in self.parts:
-            for gateway in part:
-                yield part, gateway
+                    gateway.ask(customer, USUAL_TICK_TOKENS, 1)
+                # Eight of sixteen parts are done, four for usual customers.
+                gateway.ask(HOT, USUAL_TICK_TOKENS * HOT_FACTOR, 1 / 3)
+            self.exchange_reports()
+
+    def exchange_reports(self) -> None:
+        """Send unreported work of each gateway to the others."""
+        for group, sender in self._members():
+            entries = sender.knowledge.customer_work.take_untold()
+            report = Activity(work=[] if sender in self.silent else entries)
+            for receiver in group:
+                if receiver is not sender:
+                    note_activity(report, receiver.knowledge)
+
+    def _members(self) -> Iterator[tuple[list[Gateway], Gateway]]:
+        for group in self.groups:
+            for gateway in group:
+                yield group, gateway
 
 
 def test_enough_for_all_needs_no_shares():
@@ -142,31 +142,31 @@
 
 
 def test_use_is_halfway_between_what_was_asked_and_given():
-    # Who asks more and is given as much uses more.
+    # At equal given work, a customer that asks for more uses more.
     uses = [
-        use_over_share(Work(asked=asked, given=1000), 1000)
+        relative_use(Work(asked=asked, given=1000), 1000)
         for asked in (1000, 4000)
     ]
     assert uses == [1, 2]
 
 
 def test_customer_behind_its_share_is_not_held_back():
-    assert use_over_share(Work(asked=40_000, given=400), 1000) == 1
+    assert relative_use(Work(asked=40_000, given=400), 1000) == 1
 
 
 def test_customer_above_its_share_is_known_and_no_other():
     site = Site(gateways=3)
     site.run()
     for gateway in site.gateways:
-        assert gateway.use(HOT) == pytest.approx(HOT_USE, rel=0.05)
-        assert {gateway.use(customer) for customer in USUAL} == {1}
+        assert gateway.relative_use(HOT) == pytest.approx(HOT_USE, rel=0.05)
+        assert {gateway.relative_use(customer) for customer in USUAL} == {1}
 
 
 def test_nobody_is_above_a_share_while_all_is_given():
     gateway = Gateway(clock=ManualClock(start_ms=1000))
-    gateway.ask(HOT, USUAL_TOKENS * TIMES, 1)
-    gateway.ask('aker', USUAL_TOKENS, 1)
-    assert gateway.use(HOT) == 1
+    gateway.ask(HOT, USUAL_TICK_TOKENS * HOT_FACTOR, 1)
+    gateway.ask('aker', USUAL_TICK_TOKENS, 1)
+    assert gateway.relative_use(HOT) == 1
 
 
 def test_work_that_waits_shows_who_is_above_before_any_refusal():
@@ -174,7 +174,7 @@
         HOT: Work(asked=12_000, given=12_000),
         'aker': Work(asked=2000, given=2000),
     }
-    shares = PoolShares(work=work, waiting=6000, now_ms=0)
+    shares = PoolShares(work=work, pending_tokens=6000, now_ms=0)
     assert shares.use(HOT) == pytest.approx(2)
     assert shares.use('aker') == 1
 
@@ -182,14 +182,14 @@
 def test_lost_message_changes_little():
     site = Site(gateways=3)
     site.run()
-    # All that one gateway tells of a tenth of a second.
+    # The report of one gateway for a tenth of a second is lost.
     site.silent = site.gateways[:1]
     site.run(1)
-    uses = [gateway.use(HOT) for gateway in site.gateways]
+    uses = [gateway.relative_use(HOT) for gateway in site.gateways]
     assert uses == pytest.approx([HOT_USE, HOT_USE, HOT_USE], rel=0.05)
     site.silent = []
     site.run()
-    uses = [gateway.use(HOT) for gateway in site.gateways]
+    uses = [gateway.relative_use(HOT) for gateway in site.gateways]
     assert uses == pytest.approx([HOT_USE, HOT_USE, HOT_USE], rel=0.05)
 
 
@@ -197,35 +197,35 @@
     site = Site(gateways=2)
     site.run()
     started = Gateway(clock=site.clock)
-    uses = {started.use(customer) for customer in (*USUAL, HOT)}
+    uses = {started.relative_use(customer) for customer in (*USUAL, HOT)}
     assert uses == {1}
     site.gateways.append(started)
     site.run(25)
-    assert {started.use(customer) for customer in USUAL} == {1}
-    assert started.use(HOT) > 1
+    assert {started.relative_use(customer) for customer in USUAL} == {1}
+    assert started.relative_use(HOT) > 1
 
 
 def test_halves_that_are_cut_apart_judge_alike_what_uses_both():
     site = Site(gateways=4)
     site.run()
-    site.parts = [site.gateways[:2], site.gateways[2:]]
+    site.groups = [site.gateways[:2], site.gateways[2:]]
     site.run()
     for gateway in site.gateways:
-        assert gateway.use(HOT) == pytest.approx(HOT_USE, rel=0.05)
+        assert gateway.relative_use(HOT) == pytest.approx(HOT_USE, rel=0.05)
 
 
-def one_sided_use(parts: list[slice]) -> float:
-    """Tell how a customer is judged that asks in one of two halves alone."""
+def one_sided_use(groups: list[slice]) -> float:
+    """Return the relative use of a customer that asks at one gateway only."""
     site = Site(gateways=4)
-    site.parts = [site.gateways[part] for part in parts]
-    for _tick in range(LONG):
+    site.groups = [site.gateways[group] for group in groups]
+    for _tick in range(CONVERGED_TICKS):
         site.clock.advance(TICK_MS)
         for gateway in site.gateways:
             for customer in USUAL:
-                gateway.ask(customer, USUAL_TOKENS, 5 / 6)
-        site.gateways[0].ask('one-sided', USUAL_TOKENS * 4, 5 / 6)
-        site.tell()
-    return site.gateways[1].use('one-sided')
+                gateway.ask(customer, USUAL_TICK_TOKENS, 5 / 6)
+        site.gateways[0].ask('one-sided', USUAL_TICK_TOKENS * 4, 5 / 6)
+        site.exchange_reports()
+    return site.gateways[1].relative_use('one-sided')
 
 
 def test_cut_misjudges_by_the_ratio_of_the_whole_to_the_half_at_most():
@@ -239,17 +239,17 @@
     site.silent = site.gateways[:1]
     site.run()
     for gateway in site.gateways[1:]:
-        assert gateway.use(HOT) == pytest.approx(HOT_USE, rel=0.05)
-        assert {gateway.use(customer) for customer in USUAL} == {1}
+        assert gateway.relative_use(HOT) == pytest.approx(HOT_USE, rel=0.05)
+        assert {gateway.relative_use(customer) for customer in USUAL} == {1}
 
 
 def test_fields_of_a_later_version_are_passed_over():
     gateway = Gateway(clock=ManualClock(start_ms=1000))
-    told = [[POOL, HOT, 4000, 2000, 'later']]
-    note_activity(Activity(work=told), gateway.knowledge)
+    report = [[POOL, HOT, 4000, 2000, 'later']]
+    note_activity(Activity(work=report), gateway.knowledge)
     assert gateway.knowledge.customer_work.read(POOL)[HOT].given == 2000
 
 
 def test_nonsense_of_a_peer_is_no_fault():
-    assert use_over_share(Work(asked=4000, given=-500), 100) <= 1
-    assert use_over_share(Work(asked=-4000, given=500), 100) == 0
+    assert relative_use(Work(asked=4000, given=-500), 100) <= 1
+    assert relative_use(Work(asked=-4000, given=500), 100) == 0
--- a/wingfall/gateway/rules/admission/__init__.py
+++ b/wingfall/gateway/rules/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Who is taken in, who is refused, and when callers come back."""
+"""Admission of calls, refusals and retry delays of refused calls."""
--- a/wingfall/gateway/rules/admission/early_refusal.py
+++ b/wingfall/gateway/rules/admission/early_refusal.py
@@ -1,9 +1,9 @@
-"""Which prompts are refused at once because they would start too late.
+"""Early refusal of prompts that would start too late.
 
-An engine reads the prompts that it has let in one after the other, so what
-waits to be read there tells when the next one starts. A prompt that would
-miss its target is refused early, with the time after which its caller may
-come back, instead of holding up those behind it.
+An engine prefills its admitted prompts one after the other, so its pending
+prefill tokens determine when the next prompt starts. A prompt that would miss
+its target is refused early, with a delay after which its caller may retry,
+because it would delay the prompts behind it.
 """
 
 from __future__ import annotations
@@ -19,26 +19,27 @@
 if TYPE_CHECKING:
     from wingfall.gateway.knowledge.start_estimates import StartError
 
-# The most urgent tier is refused only if it would start after so much of the
-# time that its callers wait: no tier goes before it, and those of lower tiers
-# that start meanwhile must not be served instead.
-_URGENT_PART: Final = 0.5
-# Multiple of its fair share from which on a customer's prompts meet the
-# shortest bound, that part of their tier's: as a queue grows, they are refused
-# long before it is too long for customers within their shares.
+# Fraction of the caller's remaining time after which a prompt of the most
+# urgent tier is refused: no tier precedes it, and prompts of lower tiers that
+# start meanwhile must not be served instead.
+_URGENT_DEADLINE_FRACTION: Final = 0.5
+# Relative use of a customer from which on its prompts have the shortest bound,
+# the bound of their tier divided by this number. As a queue grows, they are
+# refused long before it is too long for customers within their shares.
 MOST_OVER_SHARE: Final = 4
-# Milliseconds of work that engines hold before anybody is refused for a share.
-# Gateways hear a tenth of a second late that a prompt was read, so that an
-# engine with less runs out of work while prompts are refused.
-_KEPT_BUSY_MS: Final = 100
-# Bound of the margin on estimates: the first few starts of a pool, or a failure
-# of many engines, say little of the error of those that come after them.
-_MOST_MARGIN: Final = 1.5
+# Milliseconds of work that an engine has queued before a prompt is refused for
+# its customer's share. Gateways receive the end of a prefill a tenth of a
+# second late, so an engine with less work would become idle while prompts are
+# refused.
+_MIN_QUEUED_WORK_MS: Final = 100
+# Maximum margin factor on estimates: the first few starts of a pool, or a
+# failure of many engines, do not predict the error of later starts.
+_MAX_MARGIN_FACTOR: Final = 1.5
 
 
 @final
 class StartEstimate:
-    """When a prompt would start, beside what its caller asks for."""
+    """Estimated start of a prompt at an engine, with its target and limits."""
 
     __slots__ = (
         'alone_ms',
@@ -65,19 +66,20 @@
         use: float = 1,
         margin: float = 1,
     ) -> None:
-        """Describe a prompt.
-
-        :param start_ms: when its answer would begin, from now.
-        :param target_ms: when it should.
-        :param left_ms: how long its caller waits.
-        :param urgent: whether no other tier of the pool goes before it.
-        :param lowest: whether it goes before no other tier of the pool.
-        :param alone_ms: when its answer would begin if nothing waited before
-            it.
-        :param stream_ms: from its start to the end of its answer.
-        :param use: what its customer uses as a multiple of its fair share.
-        :param margin: by how many times most starts are later than estimated
-            at most.
+        """Initialize the estimate.
+
+        :param start_ms: milliseconds until the answer begins.
+        :param target_ms: milliseconds within which the answer should begin.
+        :param left_ms: milliseconds that the caller still waits.
+        :param urgent: whether its tier is the most urgent of the pool.
+        :param lowest: whether its tier is the least urgent of the pool.
+        :param alone_ms: milliseconds until the answer begins
+            at an engine with an empty queue.
+        :param stream_ms: milliseconds from the start to the end of the answer.
+        :param use: relative use, the use of its customer as a multiple of the
+            customer's fair share.
+        :param margin: factor between estimated and actual times that most
+            starts do not exceed.
         """
         self.start_ms = start_ms
         self.target_ms = target_ms
@@ -90,32 +92,32 @@
         self.margin = margin
 
 
-Judgement = Callable[[StartEstimate], Result[None, int]]
+AdmissionCheck = Callable[[StartEstimate], Result[None, int]]
 
 
 @final
 class Admission:
-    """A rule that admits prompts, and what it has to be told."""
+    """An admission rule for prompts, with the inputs that it needs."""
 
-    __slots__ = ('_judge', 'weighs_pool')
+    __slots__ = ('_check', 'weighs_pool')
 
-    def __init__(self, *, judge: Judgement, weighs_pool: bool) -> None:
-        """Describe a rule.
+    def __init__(self, *, check: AdmissionCheck, weighs_pool: bool) -> None:
+        """Initialize the rule.
 
-        :param judge: admits a prompt at one engine or refuses it there.
-        :param weighs_pool: whether it is asked for each engine of the pool
-            before a prompt is refused, and told what customers use.
+        :param check: admits a prompt at one engine or refuses it there.
+        :param weighs_pool: whether the rule checks each engine of the pool
+            before it refuses a prompt, and needs the relative use of customers.
         """
-        self._judge = judge
+        self._check = check
         self.weighs_pool = weighs_pool
 
     def __call__(self, estimate: StartEstimate) -> Result[None, int]:
         """Admit a prompt at one engine or refuse it there.
 
-        :param estimate: the prompt.
-        :returns: nothing, or after how many milliseconds to ask again.
+        :param estimate: estimated start of the prompt.
+        :returns: nothing, or the retry delay in milliseconds.
         """
-        return self._judge(estimate)
+        return self._check(estimate)
 
 
 admissions: Final[Registry[Admission]] = Registry(kind='admission')
@@ -125,28 +127,28 @@
     name: str,
     *,
     weighs_pool: bool = False,
-) -> Callable[[Judgement], Judgement]:
-    """Register the decorated function as an admission.
+) -> Callable[[AdmissionCheck], AdmissionCheck]:
+    """Register the decorated function as an admission rule.
 
-    :param name: the name that the settings use.
+    :param name: name of the rule in the settings.
     :param weighs_pool: see :class:`Admission`.
-    :returns: a decorator that gives its argument back.
+    :returns: a decorator that returns its argument.
     """
 
-    def decorate(judge: Judgement) -> Judgement:
-        admission = Admission(judge=judge, weighs_pool=weighs_pool)
+    def decorate(check: AdmissionCheck) -> AdmissionCheck:
+        admission = Admission(check=check, weighs_pool=weighs_pool)
         admissions.register(name)(admission)
-        return judge
+        return check
 
     return decorate
 
 
 @register_admission('target')
 def admit_by_target(estimate: StartEstimate) -> Result[None, int]:
-    """Refuse what would start after its target.
+    """Refuse a prompt that would start after its target.
 
-    :param estimate: the prompt.
-    :returns: nothing, or after how many milliseconds to ask again.
+    :param estimate: estimated start of the prompt.
+    :returns: nothing, or the retry delay in milliseconds.
     """
     if estimate.start_ms <= start_bound_ms(estimate):
         return Success(None)
@@ -160,57 +162,61 @@
 
 
 def start_bound_ms(estimate: StartEstimate) -> float:
-    """Tell when a prompt of its tier must start at the latest.
+    """Return the latest start that the tier of a prompt allows.
 
-    :param estimate: the prompt.
+    :param estimate: estimated start of the prompt.
     :returns: milliseconds from now.
     """
     if estimate.urgent:
-        return max(estimate.target_ms, estimate.left_ms * _URGENT_PART)
+        return max(
+            estimate.target_ms, estimate.left_ms * _URGENT_DEADLINE_FRACTION
+        )
     return estimate.target_ms
 
 
 @register_admission('fair', weighs_pool=True)
 def admit_fairly(estimate: StartEstimate) -> Result[None, int]:
-    """Refuse what would start or end too late by its customer's share.
+    """Refuse a prompt that would end too late or exceed its fair bound.
 
-    :param estimate: the prompt.
-    :returns: nothing, or after how many milliseconds to ask again.
+    :param estimate: estimated start of the prompt.
+    :returns: nothing, or the retry delay in milliseconds.
     """
     end_ms = estimate.start_ms + estimate.stream_ms
     in_time = end_ms <= estimate.left_ms
     if in_time and estimate.start_ms <= fair_bound_ms(estimate):
         return Success(None)
-    over = _over_share(estimate)
+    relative_use = _bounded_relative_use(estimate)
     retry_ms = retry_after_queue_ms(
         estimate.start_ms,
-        estimate.target_ms / estimate.margin / over,
+        estimate.target_ms / estimate.margin / relative_use,
         estimate.left_ms,
     )
-    # Of a customer at so many times its share one prompt in so many has room.
-    return Failure(int(min(retry_ms * over, estimate.left_ms)))
+    # At a relative use of n, one prompt in n of the customer can be admitted.
+    return Failure(int(min(retry_ms * relative_use, estimate.left_ms)))
 
 
 def fair_bound_ms(estimate: StartEstimate) -> float:
-    """Tell when a prompt must start at the latest by its customer's share.
+    """Return the latest start that the share of a prompt's customer allows.
 
-    :param estimate: the prompt.
+    :param estimate: estimated start of the prompt.
     :returns: milliseconds from now.
     """
-    whole_ms = start_bound_ms(estimate) / estimate.margin
-    bound_ms = whole_ms / _over_share(estimate)
+    tier_bound_ms = start_bound_ms(estimate) / estimate.margin
+    bound_ms = tier_bound_ms / _bounded_relative_use(estimate)
     if not estimate.lowest:
-        # No tier is refused for a lower one, whoever asks.
+        # No prompt is refused in favor of a lower tier, whatever its customer.
         bound_ms = max(bound_ms, estimate.target_ms / estimate.margin)
-    bound_ms = max(bound_ms, min(whole_ms, estimate.alone_ms + _KEPT_BUSY_MS))
-    # What nothing waits before starts no sooner when it comes back.
+    bound_ms = max(
+        bound_ms, min(tier_bound_ms, estimate.alone_ms + _MIN_QUEUED_WORK_MS)
+    )
+    # A prompt that nothing is queued before starts no sooner when retried.
     return max(bound_ms, estimate.alone_ms)
 
 
 def tell_reason(estimate: StartEstimate) -> str:
-    """Tell why a prompt is refused by :func:`admit_fairly`.
+    """Return why :func:`admit_fairly` refuses a prompt.
 
-    :param estimate: the prompt where it would start first.
+    :param estimate: estimate for the engine where the prompt starts earliest.
     :returns: ``ends_late``, ``over_share`` if other customers' prompts would be
         admitted, or ``no_room``.
     """
@@ -222,30 +228,30 @@
 
 
 def start_margin(error: StartError | None) -> float:
-    """Tell how much later than estimated three in four starts come at most.
+    """Return the factor on estimates that three in four starts do not exceed.
 
-    Half of all starts are later than their estimate: a bound on the estimate
-    alone would let in as many prompts that are late as are in time, and these
-    would hold up those behind them.
+    Half of all starts are later than their estimate. A bound on the estimate
+    alone would admit as many late prompts as punctual ones, and the late ones
+    would delay the prompts behind them.
 
-    :param error: how far estimates were off, None if that is unknown.
-    :returns: a factor on estimates.
+    :param error: error of past estimates, None if unknown.
+    :returns: the factor; 1 if the error is unknown.
     """
     if error is None or not error.median:
         return 1
-    # Three in four lie about halfway between the median and the worst tenth.
-    return min(_MOST_MARGIN, math.sqrt(error.worst_tenth / error.median))
+    # The third quartile is about halfway from the median to the worst tenth.
+    return min(_MAX_MARGIN_FACTOR, math.sqrt(error.worst_tenth / error.median))
 
 
 @register_admission('always')
 def admit_always(estimate: StartEstimate) -> Result[None, int]:
-    """Refuse nothing, as the baseline.
+    """Admit every prompt, as the baseline.
 
-    :param estimate: the prompt, which doesn't matter.
+    :param estimate: estimated start of the prompt, unused.
     :returns: nothing.
     """
     return Success(None)
 
 
-def _over_share(estimate: StartEstimate) -> float:
+def _bounded_relative_use(estimate: StartEstimate) -> float:
     return min(MOST_OVER_SHARE, max(1, estimate.use))
--- a/wingfall/gateway/rules/admission/fair_shares.py
+++ b/wingfall/gateway/rules/admission/fair_shares.py
@@ -1,11 +1,10 @@
-"""Which customers use more than their share of a pool's work.
-
-Answers one customer at many times its usual beside others, for seconds. Shares
-are max-min fair: customers that ask for less than an equal part of what the
-pool gives are given all they ask, the others divide the rest equally. Demand is
-what customers ask, so that one whose prompts are refused doesn't look small for
-it; what the pool gives is the work that was sent to its engines and doesn't
-wait there any more.
+"""Fair shares of a pool's work, and customers that exceed their shares.
+
+Limits a customer that sends a burst of many times its usual work for seconds.
+Shares are max-min fair: customers that ask for less than an equal part of the
+supply get all they ask, the others divide the rest equally. Demand is the
+work that customers ask for, so that refusals don't reduce it. Supply is the
+work that was sent to the pool's engines and no longer waits there.
 """
 
 from __future__ import annotations
@@ -20,132 +19,137 @@
     from wingfall.gateway.knowledge.customer_work import Work
     from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
 
-# Milliseconds for which shares hold: far less than a burst, and working them
-# out for 15,000 customers takes some milliseconds.
-_HELD_MS: Final = 300
-# Part of the given work that counts as done, whatever is known to wait: engines
-# hold prompts for about a target, less than half of the time over which work is
-# summed up.
-_LEAST_DONE_PART: Final = 0.5
-# Part of its share below which a customer is not held back, however much it
-# asks: others above their share must not take all that it may have.
-_BEHIND_PART: Final = 0.5
+# Milliseconds after which shares are recomputed: far less than a burst, and
+# computing them for 15,000 customers takes some milliseconds.
+_SHARES_MAX_AGE_MS: Final = 300
+# Minimum fraction of the given work that counts as done, however much waits:
+# prompts wait at engines for about a target, less than half of the time over
+# which work is summed.
+_MIN_DONE_FRACTION: Final = 0.5
+# Fraction of its share below which a customer is not limited, however much it
+# asks: customers above their shares must not use up its share.
+_UNLIMITED_SHARE_FRACTION: Final = 0.5
 
 
 def fair_share(demands: Iterable[float], supply: float) -> float:
-    """Divide a supply by max-min fairness.
+    """Return the max-min fair share of a supply.
 
-    :param demands: what each customer asks.
-    :param supply: what there is to divide.
-    :returns: the share of each customer that asks for more than it; infinite
-        if there is enough for all.
+    :param demands: demand of each customer.
+    :param supply: the amount to divide.
+    :returns: the share of each customer whose demand exceeds it; infinite if
+        the supply meets all demands.
     """
     ascending = sorted(demands)
-    left, sharing = supply, len(ascending)
+    remaining, remaining_customers = supply, len(ascending)
     for demand in ascending:
-        share = left / sharing
+        share = remaining / remaining_customers
         if demand > share:
             return share
-        left -= demand
-        sharing -= 1
+        remaining -= demand
+        remaining_customers -= 1
     return float('inf')
 
 
-def work_done(given: float, waiting: float) -> float:
-    """Tell how much work a pool has done lately.
+def work_done(given: float, pending_tokens: float) -> float:
+    """Return the work that a pool has done recently.
 
     :param given: tokens that were sent to its engines.
-    :param waiting: tokens that wait there.
-    :returns: tokens.
+    :param pending_tokens: pending tokens at its engines.
+    :returns: the work in tokens.
     """
-    return max(given - waiting, given * _LEAST_DONE_PART)
+    return max(given - pending_tokens, given * _MIN_DONE_FRACTION)
 
 
-def use_over_share(work: Work, share: float) -> float:
-    """Tell how far a customer is above its share.
+def relative_use(work: Work, share: float) -> float:
+    """Return the use of a customer as a multiple of its share.
 
-    :param work: what it asked and was given.
-    :param share: what it may use.
-    :returns: what it uses as a multiple of its share, halfway between what it
-        asks and what it was given; at most one if that was far less.
+    :param work: work that the customer asked for and was given.
+    :param share: its share in tokens.
+    :returns: the geometric mean of the asked and the given work, divided by the
+        share; at most 1 if the given work is far below the share.
     """
     if share <= 0:
         return 1
     use = math.sqrt(max(0, work.asked * work.given)) / share
-    return min(use, 1) if work.given < share * _BEHIND_PART else use
+    return (
+        min(use, 1) if work.given < share * _UNLIMITED_SHARE_FRACTION else use
+    )
 
 
 @final
 class PoolShares:
-    """How far the customers of one pool are above their shares."""
+    """Relative use of the customers of one pool, computed at one time."""
 
-    __slots__ = ('_uses', 'worked_out_ms')
+    __slots__ = ('_relative_uses', 'worked_out_ms')
 
     def __init__(
-        self, *, work: dict[str, Work], waiting: float, now_ms: int
+        self, *, work: dict[str, Work], pending_tokens: float, now_ms: int
     ) -> None:
-        """Work the shares out.
+        """Compute the shares.
 
         :param work: work of the pool by customer.
-        :param waiting: tokens that wait at its engines.
-        :param now_ms: the time.
+        :param pending_tokens: pending tokens at its engines.
+        :param now_ms: the current time in milliseconds.
         """
         self.worked_out_ms = now_ms
         given = sum(each.given for each in work.values())
         share = fair_share(
             (each.asked for each in work.values()),
-            work_done(given, waiting),
+            work_done(given, pending_tokens),
         )
-        self._uses = {
-            customer: use_over_share(each, share)
+        self._relative_uses = {
+            customer: relative_use(each, share)
             for customer, each in work.items()
             if each.asked > share
         }
 
     def use(self, customer: str) -> float:
-        """Tell how far a customer is above its share.
+        """Return the use of a customer as a multiple of its share.
 
-        :param customer: its name.
-        :returns: its use over its share, at most one within it.
+        :param customer: name of the customer.
+        :returns: the multiple; at most 1 for a customer within its share.
         """
-        return self._uses.get(customer, 1)
+        return self._relative_uses.get(customer, 1)
 
 
 @final
 class FairShares:
-    """How far customers are above their shares, worked out when asked."""
+    """Cache of the shares of each pool, recomputed on demand."""
 
     __slots__ = ('_clock', '_knowledge', '_pools')
 
     def __init__(self, *, clock: Clock, knowledge: EndpointKnowledge) -> None:
-        """Start with no shares.
+        """Create an empty cache.
 
-        :param clock: the time.
-        :param knowledge: what customers asked, and what waits at engines.
+        :param clock: source of the current time.
+        :param knowledge: work of customers and load of engines.
         """
         self._clock = clock
         self._knowledge = knowledge
         self._pools: dict[str, PoolShares] = {}
 
     def find(self, pool: str) -> PoolShares:
-        """Give the shares of a pool's customers.
+        """Return the shares of a pool's customers.
 
-        :param pool: its name.
+        :param pool: name of the pool.
         :returns: the shares, some tenths of a second old at most.
         """
         now_ms = self._clock.now_ms()
-        known = self._pools.get(pool)
-        if known is None or now_ms - known.worked_out_ms >= _HELD_MS:
+        shares = self._pools.get(pool)
+        if (
+            shares is None
+            or now_ms - shares.worked_out_ms >= _SHARES_MAX_AGE_MS
+        ):
             work = self._knowledge.customer_work
-            known = PoolShares(
+            shares = PoolShares(
                 work=work.read(pool) if work.is_settled(pool) else {},
-                waiting=self._waiting(pool),
+                pending_tokens=self._pending_tokens(pool),
                 now_ms=now_ms,
             )
-            self._pools[pool] = known
-        return known
+            self._pools[pool] = shares
+        return shares
 
-    def _waiting(self, pool: str) -> int:
+    def _pending_tokens(self, pool: str) -> int:
         total = self._knowledge.load.total
         return sum(
             total(each.name).reading_tokens
