--- a/tests/test_held_calls.py
+++ b/tests/test_held_calls.py
@@ -1,40 +1,40 @@
-"""Calls that a pool holds off: who goes first, and when they come back."""
+"""Tests of retry times and tier order of deferred calls."""
 
 from __future__ import annotations
 
 from wingfall.gateway.rules.admission.held_calls import HeldCalls, Opening
 
 POOL = 'engines'
-OPENING = Opening(first_ms=300, every_ms=500)
+SLOTS = Opening(first_ms=300, every_ms=500)
 
 
 def test_each_is_told_a_time_of_its_own():
-    held = HeldCalls()
-    told = [held.hold(POOL, 0, OPENING, 1000) for _call in range(4)]
-    assert told == [300, 800, 1300, 1800]
-    # Half a second later the first two have passed.
-    assert held.hold(POOL, 0, OPENING, 1500) == 1800
+    deferred = HeldCalls()
+    delays_ms = [deferred.hold(POOL, 0, SLOTS, 1000) for _call in range(4)]
+    assert delays_ms == [300, 800, 1300, 1800]
+    # Half a second later the first two slots have passed.
+    assert deferred.hold(POOL, 0, SLOTS, 1500) == 1800
 
 
 def test_pools_are_told_apart():
-    held = HeldCalls()
-    held.hold(POOL, 0, OPENING, 1000)
-    assert held.hold('plain', 0, OPENING, 1000) == 300
+    deferred = HeldCalls()
+    deferred.hold(POOL, 0, SLOTS, 1000)
+    assert deferred.hold('plain', 0, SLOTS, 1000) == 300
 
 
 def test_crowd_does_not_turn_callers_away_for_long():
-    held = HeldCalls()
-    told = [held.hold(POOL, 0, OPENING, 1000) for _call in range(1000)]
-    assert max(told) <= 10_300
-    assert held.hold(POOL, 0, OPENING, 30_000) == 300
+    deferred = HeldCalls()
+    delays_ms = [deferred.hold(POOL, 0, SLOTS, 1000) for _call in range(1000)]
+    assert max(delays_ms) <= 10_300
+    assert deferred.hold(POOL, 0, SLOTS, 30_000) == 300
 
 
 def test_what_is_free_is_kept_for_a_more_urgent_tier():
-    held = HeldCalls()
-    held.hold(POOL, 1, OPENING, 1000)
-    assert held.gives_way(POOL, 2, 1001)
-    assert not held.gives_way(POOL, 1, 1001)
-    assert not held.gives_way(POOL, 0, 1001)
-    assert not held.gives_way('plain', 2, 1001)
-    # It has come back by then, or doesn't come any more.
-    assert not held.gives_way(POOL, 2, 3000)
+    deferred = HeldCalls()
+    deferred.hold(POOL, 1, SLOTS, 1000)
+    assert deferred.gives_way(POOL, 2, 1001)
+    assert not deferred.gives_way(POOL, 1, 1001)
+    assert not deferred.gives_way(POOL, 0, 1001)
+    assert not deferred.gives_way('plain', 2, 1001)
+    # By then the deferred call was retried or is not retried any more.
+    assert not deferred.gives_way(POOL, 2, 3000)
--- a/wingfall/gateway/rules/admission/held_calls.py
+++ b/wingfall/gateway/rules/admission/held_calls.py
@@ -1,35 +1,35 @@
-"""Calls that a pool holds off: who goes first, and when they come back.
+"""Retry times and tier order of calls that a pool defers.
 
-Answers a pool whose endpoints all name limits or ask for rest. Calls wait for
-nothing; each is told a time of its own, so that those who were told do not all
-come back at the same moment. What is free meanwhile is kept for a more urgent
-tier that was held off a moment ago.
+Applies to a pool whose endpoints all name limits or ask for rest. Calls are not
+queued; each deferred call gets a retry time of its own, so that callers do not
+all retry at the same moment. Capacity that becomes free meanwhile is reserved
+for a more urgent tier with recently deferred calls.
 """
 
 from __future__ import annotations
 
 from typing import Final, final
 
-# Milliseconds by which a time that a caller is told may lie ahead, so that one
-# crowd doesn't turn callers away for long after it.
-_MOST_AHEAD_MS: Final = 10_000
-# Milliseconds that a caller needs to come back at all.
-_WAY_BACK_MS: Final = 200
-# Steps for which what becomes free is kept for a more urgent tier: the one that
-# it was told, and the one after it if it comes late.
-_KEPT_STEPS: Final = 2
+# Maximum milliseconds between the first slot and an assigned retry time, so
+# that one burst does not defer callers for long after it.
+_MAX_RETRY_LEAD_MS: Final = 10_000
+# Milliseconds that a retry takes to arrive after its retry time.
+_RETRY_LATENCY_MS: Final = 200
+# Slots reserved for a more urgent tier: the slot assigned to its call, and the
+# next slot in case the retry is late.
+_RESERVED_SLOTS: Final = 2
 
 
 @final
 class Opening:
-    """When a pool takes a request again, and how many from then on."""
+    """Times at which a pool with no free endpoint admits requests again."""
 
     __slots__ = ('every_ms', 'first_ms')
 
     def __init__(self, *, first_ms: float, every_ms: float) -> None:
-        """Describe an opening.
+        """Initialize the slots.
 
-        :param first_ms: milliseconds until the first endpoint takes one.
+        :param first_ms: milliseconds until the first endpoint takes a request.
         :param every_ms: milliseconds from one request of this gateway to the
             next after that.
         """
@@ -39,48 +39,50 @@
 
 @final
 class HeldCalls:
-    """What callers of each pool were told when they were held off."""
+    """Retry times assigned to deferred calls, by pool."""
 
-    __slots__ = ('_kept_until_ms', '_next_ms')
+    __slots__ = ('_reserved_until_ms', '_unassigned_slot_ms')
 
     def __init__(self) -> None:
-        """Start with nothing told."""
-        # The next time that is free, by pool.
-        self._next_ms: dict[str, float] = {}
-        # Until when what is free is kept, by pool and tier.
-        self._kept_until_ms: dict[str, dict[int, float]] = {}
+        """Create an empty record."""
+        # Time of the next unassigned slot, by pool.
+        self._unassigned_slot_ms: dict[str, float] = {}
+        # End of the reservation of free capacity, by pool and tier.
+        self._reserved_until_ms: dict[str, dict[int, float]] = {}
 
     def gives_way(self, pool: str, tier: int, now_ms: int) -> bool:
-        """Tell whether a call leaves what is free to a more urgent tier.
+        """Check if a call must leave free capacity to a more urgent tier.
 
         :param pool: name of its pool.
         :param tier: its tier, 0 is the most urgent.
-        :param now_ms: the time.
-        :returns: whether it does.
+        :param now_ms: the current time in milliseconds.
+        :returns: whether the capacity is reserved for a more urgent tier.
         """
-        kept = self._kept_until_ms.get(pool)
-        if not kept:
+        reserved = self._reserved_until_ms.get(pool)
+        if not reserved:
             return False
         return any(
             until_ms > now_ms
-            for urgent, until_ms in kept.items()
-            if urgent < tier
+            for reserved_tier, until_ms in reserved.items()
+            if reserved_tier < tier
         )
 
-    def hold(self, pool: str, tier: int, opening: Opening, now_ms: int) -> int:
-        """Tell a call when to come back.
+    def hold(self, pool: str, tier: int, slots: Opening, now_ms: int) -> int:
+        """Defer a call and assign its retry time.
 
         :param pool: name of its pool.
         :param tier: its tier.
-        :param opening: when the pool takes requests again.
-        :param now_ms: the time.
-        :returns: milliseconds from now.
+        :param slots: slots at which the pool admits requests again.
+        :param now_ms: the current time in milliseconds.
+        :returns: the retry delay in milliseconds.
         """
-        first_ms = now_ms + opening.first_ms
-        due_ms = max(first_ms, self._next_ms.get(pool, 0))
-        due_ms = min(due_ms, first_ms + _MOST_AHEAD_MS)
-        self._next_ms[pool] = due_ms + opening.every_ms
-        kept_ms = opening.first_ms + opening.every_ms * _KEPT_STEPS
-        kept = self._kept_until_ms.setdefault(pool, {})
-        kept[tier] = now_ms + min(kept_ms, _MOST_AHEAD_MS) + _WAY_BACK_MS
-        return int(due_ms - now_ms)
+        first_ms = now_ms + slots.first_ms
+        slot_ms = max(first_ms, self._unassigned_slot_ms.get(pool, 0))
+        slot_ms = min(slot_ms, first_ms + _MAX_RETRY_LEAD_MS)
+        self._unassigned_slot_ms[pool] = slot_ms + slots.every_ms
+        reserved_ms = slots.first_ms + slots.every_ms * _RESERVED_SLOTS
+        reserved = self._reserved_until_ms.setdefault(pool, {})
+        reserved[tier] = (
+            now_ms + min(reserved_ms, _MAX_RETRY_LEAD_MS) + _RETRY_LATENCY_MS
+        )
+        return int(slot_ms - now_ms)
