--- a/wingfall/gateway/rules/admission/refusals.py
+++ b/wingfall/gateway/rules/admission/refusals.py
@@ -1,7 +1,7 @@
-"""The final answers of a gateway that are not an endpoint's.
+"""Refusals, the final answers that a gateway creates itself.
 
-429 and 503 promise that the request has not run and never will; where it may
-have run the status is 502 or 504.
+429 and 503 promise that the request has not run and never will. If it may have
+run, the status is 502 or 504.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 
 def refuse_after(end: AttemptEnd, run: RunState, left_ms: int) -> Refusal:
-    """Refuse a call that is given up.
+    """Return the refusal of a call that is abandoned.
 
     :param end: how its last attempt ended; ``late`` if its time is over,
         ``not_sent`` if there is no endpoint left.
-    :param run: whether it may have run.
+    :param run: whether the call may have run.
     :param left_ms: milliseconds that its caller still waits.
     :returns: the refusal.
     """
@@ -42,9 +42,9 @@
 
 
 def refuse_fault() -> Refusal:
-    """Refuse a call that a fault of the program ended.
+    """Return the refusal of a call that an internal fault ended.
 
-    :returns: the refusal, which doesn't tell whether it has run.
+    :returns: the refusal; its run state is unknown.
     """
     return Refusal(
         status=http.HTTPStatus.BAD_GATEWAY,
@@ -56,9 +56,9 @@
 
 
 def refuse_early(retry_after_ms: int) -> Refusal:
-    """Refuse a call that would start too late.
+    """Return the refusal of a call that would start too late.
 
-    :param retry_after_ms: when its caller may come back.
+    :param retry_after_ms: milliseconds after which the caller may retry.
     :returns: the refusal.
     """
     return Refusal(
@@ -71,10 +71,10 @@
 
 
 def refuse_held(retry_after_ms: int, *, resting: bool) -> Refusal:
-    """Refuse a call whose endpoints take no more requests for now.
+    """Return the refusal of a call whose endpoints are all withheld.
 
-    :param retry_after_ms: when its caller may come back.
-    :param resting: whether all of them asked for rest, none named a limit.
+    :param retry_after_ms: milliseconds after which the caller may retry.
+    :param resting: whether all endpoints asked for rest and none named a limit.
     :returns: the refusal.
     """
     return Refusal(
@@ -87,10 +87,10 @@
 
 
 def refuse_blocked(run: RunState, retry_after_ms: int) -> Refusal:
-    """Refuse a request that ends the endpoints that run it.
+    """Return the refusal of a request that crashes endpoints.
 
-    :param run: whether this call of it may have run.
-    :param retry_after_ms: when the request may be tried once more.
+    :param run: whether this call of the request may have run.
+    :param retry_after_ms: milliseconds after which the request may be retried.
     :returns: the refusal.
     """
     not_run = run is RunState.not_run
@@ -109,7 +109,7 @@
 
 
 def refuse_no_routes(left_ms: int) -> Refusal:
-    """Refuse a call before there is a configuration.
+    """Return the refusal of a call that arrives before any configuration.
 
     :param left_ms: milliseconds that its caller still waits.
     :returns: the refusal.
@@ -119,11 +119,11 @@
 
 
 def refuse_request(status: int, code: str, message: str) -> Refusal:
-    """Refuse a request that can't be served as it is.
+    """Return the refusal of an invalid request.
 
-    :param status: the HTTP status.
-    :param code: stable word for programs.
-    :param message: sentence for people.
+    :param status: HTTP status.
+    :param code: stable machine-readable error code.
+    :param message: human-readable error message.
     :returns: the refusal.
     """
     return Refusal(
