--- a/wingfall/gateway/rules/retries/__init__.py
+++ b/wingfall/gateway/rules/retries/__init__.py
@@ -1,1 +1,1 @@
-"""Whether a call is tried again, and how long an attempt may take."""
+"""Retries of calls, and timeouts of their attempts."""
--- a/wingfall/gateway/rules/retries/attempt_time.py
+++ b/wingfall/gateway/rules/retries/attempt_time.py
@@ -1,31 +1,30 @@
-"""How long an attempt may wait for the first byte of its answer.
+"""Timeout of an attempt for the first byte of its answer.
 
-An attempt after which there may be another one is given up early enough that
-the other has time. Giving up while the prompt still waits for its turn would
-only have it read again elsewhere.
+An attempt that may be followed by another one is abandoned early enough that
+the next one has time. Abandoning it while the prompt is still queued would only
+repeat its prefill at another engine.
 """
 
 from __future__ import annotations
 
 from typing import Final, final
 
-# Of the time that the caller has left, so that a second attempt has more time
-# than the first.
-_LEFT_PART: Final = 0.4
-# Multiples of the route's target, so that an answer that is a little late is
-# still waited for.
-_TARGETS: Final = 1.5
-# Multiples of the estimated start, so that what waits in an engine's queue
-# isn't read again elsewhere.
-_ESTIMATED_STARTS: Final = 3
-# Milliseconds that are too short to be used. Less than any endpoint takes to
-# answer.
-_MIN_LEFT_MS: Final = 5
+# Fraction of the caller's remaining time, so that a second attempt has more
+# time than the first.
+_REMAINING_TIME_FRACTION: Final = 0.4
+# Factor on the route's target, so that the gateway still waits for an answer
+# that is a little late.
+_TARGET_FACTOR: Final = 1.5
+# Factor on the estimated start, so that a prompt in an engine's queue is not
+# prefilled again at another engine.
+_START_ESTIMATE_FACTOR: Final = 3
+# Minimum milliseconds for an attempt: less than any endpoint takes to answer.
+_MIN_ATTEMPT_MS: Final = 5
 
 
 @final
 class AttemptOutlook:
-    """What is known of an attempt before it begins."""
+    """Properties of an attempt that are known before it begins."""
 
     __slots__ = ('last', 'left_ms', 'start_ms', 'target_ms')
 
@@ -37,11 +36,11 @@
         start_ms: float,
         last: bool,
     ) -> None:
-        """Describe an attempt.
+        """Initialize the properties.
 
         :param left_ms: milliseconds that the caller still waits.
         :param target_ms: milliseconds in which its route should answer.
-        :param start_ms: milliseconds until the answer begins, by an estimate.
+        :param start_ms: estimated milliseconds until the answer begins.
         :param last: whether no attempt may follow.
         """
         self.left_ms = left_ms
@@ -51,25 +50,25 @@
 
 
 def is_time_over(left_ms: int) -> bool:
-    """Tell whether it is too late for a further attempt.
+    """Check if the remaining time is too short for a further attempt.
 
     :param left_ms: milliseconds that the caller still waits.
-    :returns: whether the call is to be given up.
+    :returns: whether the call must be abandoned.
     """
-    return left_ms < _MIN_LEFT_MS
+    return left_ms < _MIN_ATTEMPT_MS
 
 
-def first_byte_wait_ms(outlook: AttemptOutlook) -> int:
-    """Bound the wait for the first byte of an answer.
+def first_byte_wait_ms(attempt: AttemptOutlook) -> int:
+    """Return the timeout for the first byte of an answer.
 
-    :param outlook: what is known of the attempt.
-    :returns: milliseconds, all that is left for a last attempt.
+    :param attempt: the attempt.
+    :returns: milliseconds; all the remaining time for a last attempt.
     """
-    if outlook.last:
-        return outlook.left_ms
-    wait_ms = max(
-        outlook.left_ms * _LEFT_PART,
-        outlook.target_ms * _TARGETS,
-        outlook.start_ms * _ESTIMATED_STARTS,
+    if attempt.last:
+        return attempt.left_ms
+    timeout_ms = max(
+        attempt.left_ms * _REMAINING_TIME_FRACTION,
+        attempt.target_ms * _TARGET_FACTOR,
+        attempt.start_ms * _START_ESTIMATE_FACTOR,
     )
-    return min(outlook.left_ms, int(wait_ms))
+    return min(attempt.left_ms, int(timeout_ms))
--- a/wingfall/gateway/rules/retries/retry.py
+++ b/wingfall/gateway/rules/retries/retry.py
@@ -1,8 +1,8 @@
-"""Whether a call is sent again after an attempt without an answer.
+"""Retry decision for a call after an attempt without an answer.
 
-A request runs at most once unless it may be repeated: it is sent again only
-after a proof that it did not run. Retries that put load on endpoints take from
-a budget that all gateways share.
+A request that is not idempotent runs at most once: it is sent again only if it
+provably did not run. Retries that put load on endpoints are charged to a budget
+that all gateways share.
 """
 
 from __future__ import annotations
@@ -12,50 +12,50 @@
 
 from wingfall.gateway.model.attempt_end import AttemptEnd
 
-# Endpoints that take no connection before a call is given up; each takes 0.3 s
-# at most, so that a call ends soon although its whole pool is gone, and finds
-# one where a quarter of it is.
-_MOST_UNREACHED: Final = 8
+# Maximum endpoints without a connection before a call is abandoned. Each takes
+# 0.3 s at most, so a call ends soon if its whole pool is gone, and reaches an
+# endpoint if a quarter of the pool is gone.
+_MAX_UNREACHED_ENDPOINTS: Final = 8
 
 
 # Ends of attempts that reached no endpoint.
-_UNSENT: Final = frozenset((AttemptEnd.not_sent, AttemptEnd.held))
+_UNSENT_ENDS: Final = frozenset((AttemptEnd.not_sent, AttemptEnd.held))
 
 
 class RetryVerdict(enum.Enum):
-    """Whether a call may be sent again."""
+    """Decision whether a call may be sent again."""
 
     never = 'never'
-    # Nothing was sent, so the shared budget isn't touched.
+    # Nothing was sent, so the shared budget is not charged.
     free = 'free'
-    # If the budget that all gateways share allows it.
+    # Allowed only within the budget that all gateways share.
     from_budget = 'from_budget'
 
 
 @final
 class CallProgress:
-    """What has become of a call's attempts so far."""
+    """Outcomes of the attempts of a call so far."""
 
     __slots__ = ('may_have_run', 'sent', 'unreached')
 
     def __init__(self) -> None:
-        """Start without an attempt."""
-        # Names of endpoints that took the request, one an attempt.
+        """Create the record of a call without attempts."""
+        # Names of endpoints that took the request, one per attempt.
         self.sent: list[str] = []
-        # Names of endpoints that took no connection.
+        # Names of endpoints that accepted no connection.
         self.unreached: set[str] = set()
-        # Whether an endpoint may have run it, by what attempts have shown.
+        # Whether an endpoint may have run the call, by the ends of attempts.
         self.may_have_run = False
 
     def note(self, endpoint: str, end: AttemptEnd) -> None:
-        """Note the end of an attempt.
+        """Record the end of an attempt.
 
-        :param endpoint: where it went.
-        :param end: how it ended, not with an answer.
+        :param endpoint: name of the endpoint of the attempt.
+        :param end: how the attempt ended without an answer.
         """
         if end is AttemptEnd.not_sent:
             self.unreached.add(endpoint)
-        if end in _UNSENT:
+        if end in _UNSENT_ENDS:
             return
         self.sent.append(endpoint)
         if end is not AttemptEnd.not_run:
@@ -64,7 +64,7 @@
 
 @final
 class RetryTerms:
-    """What a call allows."""
+    """Conditions of a call that restrict its retries."""
 
     __slots__ = ('idempotent', 'max_attempts', 'resumes')
 
@@ -75,12 +75,12 @@
         max_attempts: int,
         resumes: bool,
     ) -> None:
-        """Describe a call.
+        """Initialize the conditions.
 
         :param idempotent: whether a second run does no harm.
-        :param max_attempts: endpoints that it may be sent to.
-        :param resumes: whether its answer has not begun, or can go on after
-            its last event.
+        :param max_attempts: maximum number of endpoints to send the call to.
+        :param resumes: whether its answer has not begun, or can continue
+            after its last event.
         """
         self.idempotent = idempotent
         self.max_attempts = max_attempts
@@ -92,23 +92,23 @@
     progress: CallProgress,
     terms: RetryTerms,
 ) -> RetryVerdict:
-    """Tell whether a call may be sent again.
+    """Decide whether a call may be sent again.
 
     :param end: how the last attempt ended.
-    :param progress: all attempts, the last among them.
-    :param terms: what the call allows.
-    :returns: the verdict.
+    :param progress: all attempts, including the last one.
+    :param terms: conditions of the call.
+    :returns: the decision.
     """
-    # First of all: also where the last endpoint could not be reached, an
-    # earlier one may have run it.
+    # Checked first: an earlier endpoint may have run the call even if the last
+    # one could not be reached.
     if progress.may_have_run and not terms.idempotent:
         return RetryVerdict.never
     if end is AttemptEnd.held:
-        # It is not placed there again before the endpoint takes requests.
+        # The call is not sent there again before the endpoint takes requests.
         return RetryVerdict.free
     if end is AttemptEnd.not_sent:
-        reachable = len(progress.unreached) < _MOST_UNREACHED
-        return RetryVerdict.free if reachable else RetryVerdict.never
+        may_try_others = len(progress.unreached) < _MAX_UNREACHED_ENDPOINTS
+        return RetryVerdict.free if may_try_others else RetryVerdict.never
     if len(progress.sent) >= terms.max_attempts or not terms.resumes:
         return RetryVerdict.never
     return RetryVerdict.from_budget
--- a/wingfall/gateway/rules/retries/retry_budget.py
+++ b/wingfall/gateway/rules/retries/retry_budget.py
@@ -1,8 +1,8 @@
-"""How many requests may be sent a second time, over all gateways together.
+"""Budget for retries of requests, over all gateways together.
 
-Without a bound a failing pool would get each request several times, just when
+Without a bound, a failing pool would get each request several times just when
 its capacity is short. The platform bounds the retries of all gateways; each
-takes its part without asking the others.
+gateway uses its share without coordination with the others.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 if TYPE_CHECKING:
     from wingfall.clock import Clock
 
-# Part of the bound that is used, since the windows of gateways don't slide
-# together, so that a fifth of them may be late.
-_USED_PART: Final = 0.8
+# Fraction of the bound that is used: the windows of gateways don't slide
+# together, so a fifth of them may be late.
+_USED_FRACTION: Final = 0.8
 
 
 @final
 class RetryBudget:
-    """A sliding window of requests and retries for each pool."""
+    """Retry budget of each pool, over a sliding window."""
 
     __slots__ = (
         '_clock',
@@ -40,12 +40,12 @@
         slack: float,
         window_ms: int,
     ) -> None:
-        """Start with the whole budget.
+        """Create a budget with no retries used.
 
-        :param clock: the time.
-        :param ratio: retries a request, over all gateways.
-        :param slack: retries a window beyond that, over all gateways.
-        :param window_ms: length of the window.
+        :param clock: source of the current time.
+        :param ratio: retries per request, over all gateways.
+        :param slack: additional retries per window, over all gateways.
+        :param window_ms: length of the window in milliseconds.
         """
         self._clock = clock
         self._ratio = ratio
@@ -56,50 +56,50 @@
         self._retries: dict[str, collections.deque[int]] = {}
 
     def set_bounds(self, ratio: float, slack: float, window_ms: int) -> None:
-        """Change the bounds; what was counted stays counted.
+        """Change the bounds, without resetting the counts.
 
-        :param ratio: retries a request, over all gateways.
-        :param slack: retries a window beyond that.
-        :param window_ms: length of the window.
+        :param ratio: retries per request, over all gateways.
+        :param slack: additional retries per window, over all gateways.
+        :param window_ms: length of the window in milliseconds.
         """
         self._ratio = ratio
         self._slack = slack
         self._window_ms = window_ms
 
     def share_among(self, gateways: int) -> None:
-        """Tell how many gateways share the slack.
+        """Set the number of gateways that share the slack.
 
-        :param gateways: how many there are, this one among them.
+        :param gateways: number of gateways, including this one.
         """
         self._gateways = max(1, gateways)
 
     def note_request(self, pool: str) -> None:
-        """Count a request.
+        """Record a request.
 
-        :param pool: the pool that it is for.
+        :param pool: name of its pool.
         """
         self._recent(self._requests, pool).append(self._clock.now_ms())
 
     def take(self, pool: str) -> bool:
-        """Ask to send a request once more.
+        """Use one retry of the budget if the bound allows it.
 
-        :param pool: the pool that it is for.
-        :returns: whether it may be sent; it is counted if so.
+        :param pool: name of the request's pool.
+        :returns: whether the retry is allowed; an allowed retry is counted.
         """
         retries = self._recent(self._retries, pool)
         requests = self._recent(self._requests, pool)
         allowed = self._ratio * len(requests) + self._slack / self._gateways
-        if len(retries) + 1 > allowed * _USED_PART:
+        if len(retries) + 1 > allowed * _USED_FRACTION:
             return False
         retries.append(self._clock.now_ms())
         return True
 
     def _recent(
         self,
-        counts: dict[str, collections.deque[int]],
+        times_ms: dict[str, collections.deque[int]],
         pool: str,
     ) -> collections.deque[int]:
-        recent = counts.setdefault(pool, collections.deque())
+        recent = times_ms.setdefault(pool, collections.deque())
         oldest_ms = self._clock.now_ms() - self._window_ms
         while recent and recent[0] <= oldest_ms:
             recent.popleft()
