--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -1,4 +1,4 @@
-"""Which of the requests beside crashes is taken for their cause."""
+"""Tests for the detection of requests that crash endpoints."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     at_ms: int | None = None,
     streaming: tuple[bytes, ...] = (),
 ) -> EndpointCrash:
-    """Describe a crash; each is a second after the one before."""
+    """Return a crash, by default one second after the previous number."""
     return EndpointCrash(
         endpoint=f'e{number}',
         crashed_ms=number * 1000 if at_ms is None else at_ms,
@@ -126,42 +126,42 @@
     assert set(find_causes(crashes, {})) == {CAUSE}
 
 
-def _sendings(chance: random.Random) -> set[int]:
-    """Draw at which crashes from its first on a neighbour is.
+def _draw_crash_offsets(rng: random.Random) -> set[int]:
+    """Return random offsets of the crashes at which a neighbour is present.
 
-    A call goes to two endpoints, its caller comes once more, and each time one
-    of four endpoints that are left is the next to crash.
+    A call goes to two endpoints and its caller retries it once; each time, one
+    of four remaining endpoints is the next to crash.
     """
-    sendings = (0, 1, 2, 3)
-    met = {sendings[0]}
-    met.update(each for each in sendings[1:] if chance.random() < 1 / 4)
-    return met
+    offsets = (0, 1, 2, 3)
+    present = {offsets[0]}
+    present.update(each for each in offsets[1:] if rng.random() < 1 / 4)
+    return present
 
 
-def _strike_again_and_again(
-    chance: random.Random, crashes: int
-) -> list[EndpointCrash]:
-    """Let one request end endpoints, with ten new neighbours at each."""
-    struck = [crash(number, CAUSE) for number in range(crashes)]
+def _crash_repeatedly(rng: random.Random, crashes: int) -> list[EndpointCrash]:
+    """Return crashes by one request, with ten new neighbours at each."""
+    series = [crash(number, CAUSE) for number in range(crashes)]
     for first, neighbour in itertools.product(range(crashes), range(10)):
-        for met in _sendings(chance):
-            if first + met < crashes:
-                struck[first + met].silent.add(b'%d-%d' % (first, neighbour))
-    return struck
+        for present in _draw_crash_offsets(rng):
+            if first + present < crashes:
+                series[first + present].silent.add(
+                    b'%d-%d' % (first, neighbour)
+                )
+    return series
 
 
 @pytest.mark.parametrize(
-    ('crashes', 'most_innocent'), [(3, 140), (4, 40), (5, 0), (8, 0)]
+    ('crashes', 'max_innocent'), [(3, 140), (4, 40), (5, 0), (8, 0)]
 )
 def test_few_neighbours_that_are_sent_again_are_blamed(
-    crashes: int, most_innocent: int
+    crashes: int, max_innocent: int
 ):
-    # Of 10 neighbours at each crash, in 200 rows of crashes. One that was at
-    # all of them can't be told from the cause, until that has one more.
+    # Of 10 neighbours at each crash, in 200 series of crashes. A neighbour at
+    # all crashes can't be distinguished from the cause until its next crash.
     innocent = 0
     for seed in range(200):
-        struck = _strike_again_and_again(random.Random(seed), crashes)
-        causes = find_causes(struck, {})
+        series = _crash_repeatedly(random.Random(seed), crashes)
+        causes = find_causes(series, {})
         assert CAUSE in causes
         innocent += len(causes) - 1
-    assert innocent <= most_innocent
+    assert innocent <= max_innocent
--- a/wingfall/gateway/rules/crashes/__init__.py
+++ b/wingfall/gateway/rules/crashes/__init__.py
@@ -1,1 +1,1 @@
-"""Which requests end the endpoints that run them."""
+"""Detection and blocking of requests that crash endpoints."""
--- a/wingfall/gateway/rules/crashes/crash_blame.py
+++ b/wingfall/gateway/rules/crashes/crash_blame.py
@@ -1,10 +1,10 @@
-"""Which requests end the endpoints that begin to run them.
+"""Detection of requests that crash the endpoints that begin to run them.
 
-The pattern: one request ends endpoint after endpoint, and comes again under
-new ids at any gateway. Tens of other requests wait or run at each endpoint
-that it ends; they are sent again too, so that some of them are at the next end
-as well. Racks and availability zones also fail, many endpoints at once, with
-all that was there.
+One request crashes endpoint after endpoint and is retried under new ids at any
+gateway. Tens of other requests wait or run at each endpoint that it crashes;
+they are retried too, so some are also present at the next crash. Failures of
+racks and availability zones also end many endpoints, with all their requests,
+at once.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
     from wingfall.gateway.model.endpoint_crash import EndpointCrash
     from wingfall.gateway.model.fingerprint import Fingerprint
 
-# What a crash weighs against a request that was there. One that had output
-# already has run well so far; it weighs less if others there had none.
-_WEIGHT: Final = 4
-_WEIGHT_OF_STREAMING: Final = 1
-# The weight by which a request is the cause: three crashes without output. A
-# call goes to two endpoints, so a request that was unlucky once is at two.
-_NEEDED: Final = 3 * _WEIGHT
-# The same for one that an endpoint has answered well: it was beside the cause
-# often, and a popular request is at many endpoints at any time.
-_NEEDED_OF_SERVED: Final = 5 * _WEIGHT
-# Milliseconds around a crash in which others belong to the same failure of a
-# rack or a zone. They end together, callers see it within a few tens of
-# milliseconds.
-_TOGETHER_MS: Final = 500
-# Crashes without a request for each one with it, by which that failure has
-# another cause. Two other such requests at the same time, each with as many
-# crashes, must not hide a third.
-_UNRELATED: Final = 3
+# Evidence weight of a crash against a request that was present. A request with
+# output has run well so far; it counts less if others there had none.
+_SILENT_WEIGHT: Final = 4
+_STREAMING_WEIGHT: Final = 1
+# Weight from which a request is the cause: three crashes without output. A call
+# goes to two endpoints, so an innocent request can be present at two crashes.
+_MIN_WEIGHT: Final = 3 * _SILENT_WEIGHT
+# The same for a request that was served successfully: it was often present with
+# the cause, and a popular request is at many endpoints at any time.
+_MIN_SERVED_WEIGHT: Final = 5 * _SILENT_WEIGHT
+# Milliseconds around a crash within which other crashes belong to the same rack
+# or zone failure. Its endpoints fail together; callers see that within a few
+# tens of milliseconds.
+_CONCURRENCY_MS: Final = 500
+# Ratio of concurrent crashes without a request to those with it from which the
+# failure has another cause. Two other crashing requests at the same time, each
+# with as many crashes, must not hide a third.
+_UNRELATED_RATIO: Final = 3
 
 
 @final
@@ -54,72 +54,72 @@
     )
 
     def __init__(self, *, needed: int) -> None:
-        """Start with nothing.
+        """Create empty evidence.
 
-        :param needed: the weight by which it is the cause.
+        :param needed: weight from which the request is the cause.
         """
         self.needed = needed
         self._weight = 0
-        # What crashes weigh at which all requests are known.
+        # Total weight of the crashes at which all requests are known.
         self._complete_weight = 0
-        # Whether no other request with as much evidence was at its crashes.
+        # Whether no request with equal evidence was at these crashes.
         self.alone = True
-        # The crashes that count against it.
+        # Crashes that count against the request.
         self.crashes: list[EndpointCrash] = []
-        # When the crash was by which it is the cause, 0 if it is not.
+        # Time of the crash that reached the required weight, 0 if none did.
         self.enough_ms = 0
-        # When the last complete crash was, 0 if there was none.
+        # Time of the last complete crash, 0 if there was none.
         self.last_complete_ms = 0
 
     @property
     def is_enough(self) -> bool:
-        """Whether it is the cause."""
+        """Whether the request is the cause."""
         return self._weight >= self.needed
 
     @property
     def certain(self) -> bool:
-        """Whether it is the cause by the complete crashes alone."""
+        """Whether the complete crashes alone show the cause."""
         return self._complete_weight >= self.needed
 
     @property
     def excess(self) -> int:
-        """Crashes beyond those that were enough."""
-        return (self._weight - self.needed) // _WEIGHT
+        """Number of crashes beyond the required weight."""
+        return (self._weight - self.needed) // _SILENT_WEIGHT
 
     @property
     def last_ms(self) -> int:
-        """When the last crash was, by the clock."""
+        """Time of the last crash, in clock milliseconds."""
         return max(crash.crashed_ms for crash in self.crashes)
 
     @property
     def strength(self) -> float:
-        """How much evidence there is, as a multiple of what is enough.
+        """Weight of the complete crashes as a multiple of the required weight.
 
-        One that was answered well needs more, so that a popular request, which
-        is beside the cause at most crashes and at others too, does not hide it.
-        Incomplete crashes don't count here: the cause may have been there too.
+        A served request requires more weight: a popular request, present at
+        other crashes and most of those of the cause, must not hide the cause.
+        Incomplete crashes don't count: the cause may also have been there.
         """
         return self._complete_weight / self.needed
 
     def has_one_with(self, crash: EndpointCrash) -> bool:
-        """Tell whether a crash belongs to one that counts already.
+        """Check if a crash is concurrent with the last counted crash.
 
-        Copies of a request begin to run at unlike times, so endpoints that end
-        together were not ended by it; a popular request was on most of them.
+        Copies of a request begin to run at different times, so it did not
+        crash endpoints that end together; a popular request was on most.
 
         :param crash: a later crash.
-        :returns: whether they were together.
+        :returns: whether both belong to the same failure.
         """
         if not self.crashes:
             return False
         since_ms = crash.crashed_ms - self.crashes[-1].crashed_ms
-        return since_ms <= _TOGETHER_MS
+        return since_ms <= _CONCURRENCY_MS
 
     def add(self, crash: EndpointCrash, weight: int) -> None:
         """Count a crash.
 
         :param crash: the crash.
-        :param weight: what it weighs.
+        :param weight: its evidence weight.
         """
         was_enough = self.is_enough
         self.crashes.append(crash)
@@ -135,85 +135,87 @@
     crashes: Sequence[EndpointCrash],
     served_ms: Mapping[Fingerprint, int],
 ) -> dict[Fingerprint, Blame]:
-    """Find the requests that end endpoints.
+    """Find the requests that crash endpoints.
 
     The request with the most evidence is the cause of its crashes;
-    the others that were there are judged by the crashes that are left.
+    the other requests there are judged by the remaining crashes.
 
-    :param crashes: the crashes and who was there.
-    :param served_ms: when requests were last answered well; crashes before
-        that don't count against them.
-    :returns: what each of them has done.
+    :param crashes: the crashes, with the requests present at each.
+    :param served_ms: time of the last successful answer to each request;
+        crashes before it don't count against the request.
+    :returns: the evidence against each cause.
     """
     causes: dict[Fingerprint, Blame] = {}
     unexplained = list(crashes)
     while True:
-        first = _find_first(unexplained, served_ms)
-        if not first:
+        strongest = _find_strongest(unexplained, served_ms)
+        if not strongest:
             return causes
-        causes.update(first)
+        causes.update(strongest)
         unexplained = [
             crash
             for crash in unexplained
-            if first.keys().isdisjoint(crash.suspects)
+            if strongest.keys().isdisjoint(crash.suspects)
         ]
 
 
-def _find_first(
+def _find_strongest(
     crashes: Sequence[EndpointCrash],
     served_ms: Mapping[Fingerprint, int],
 ) -> dict[Fingerprint, Blame]:
-    blames = {
-        suspect: blame
-        for suspect, blame in _weigh(crashes, served_ms).items()
-        if blame.is_enough
+    by_suspect = {
+        suspect: evidence
+        for suspect, evidence in _collect_evidence(crashes, served_ms).items()
+        if evidence.is_enough
     }
-    most = max((blame.strength for blame in blames.values()), default=0)
-    first = {
-        suspect: blame
-        for suspect, blame in blames.items()
-        if blame.strength == most
+    max_ratio = max(
+        (evidence.strength for evidence in by_suspect.values()), default=0
+    )
+    strongest = {
+        suspect: evidence
+        for suspect, evidence in by_suspect.items()
+        if evidence.strength == max_ratio
     }
-    for suspect, blame in first.items():
-        blame.alone = not any(
+    for suspect, evidence in strongest.items():
+        evidence.alone = not any(
             crash.has(other)
-            for crash in blame.crashes
-            for other in first.keys() - {suspect}
+            for crash in evidence.crashes
+            for other in strongest.keys() - {suspect}
         )
-    return first
+    return strongest
 
 
-def _weigh(
+def _collect_evidence(
     crashes: Sequence[EndpointCrash],
     served_ms: Mapping[Fingerprint, int],
 ) -> dict[Fingerprint, Blame]:
-    blames: dict[Fingerprint, Blame] = {}
+    by_suspect: dict[Fingerprint, Blame] = {}
     repeated = _find_repeated(crashes)
-    for crash in sorted(crashes, key=_by_time):
+    for crash in sorted(crashes, key=_crash_time):
         suspects = repeated & crash.suspects
-        for suspect in _find_suspects(suspects, crash, crashes, served_ms):
+        for suspect in _filter_suspects(suspects, crash, crashes, served_ms):
             served = suspect in served_ms
-            needed = _NEEDED_OF_SERVED if served else _NEEDED
-            blame = blames.setdefault(suspect, Blame(needed=needed))
-            if not (served and blame.has_one_with(crash)):
-                blame.add(crash, _weight(suspect, crash))
-    return blames
+            needed = _MIN_SERVED_WEIGHT if served else _MIN_WEIGHT
+            evidence = by_suspect.setdefault(suspect, Blame(needed=needed))
+            if not (served and evidence.has_one_with(crash)):
+                evidence.add(crash, _crash_weight(suspect, crash))
+    return by_suspect
 
 
 def _find_repeated(crashes: Sequence[EndpointCrash]) -> set[Fingerprint]:
-    # All others can be passed over, so that a flood of unlike requests costs
-    # little.
+    # All other requests can be skipped, so that a flood of different requests
+    # costs little.
     counts = collections.Counter(
         itertools.chain.from_iterable(crash.suspects for crash in crashes),
     )
     return {
         suspect
         for suspect, count in counts.items()
-        if count * _WEIGHT >= _NEEDED
+        if count * _SILENT_WEIGHT >= _MIN_WEIGHT
     }
 
 
-def _find_suspects(
+def _filter_suspects(
     suspects: set[Fingerprint],
     crash: EndpointCrash,
     crashes: Sequence[EndpointCrash],
@@ -221,31 +223,31 @@
 ) -> Iterator[Fingerprint]:
     if not suspects:
         return
-    together = [
+    concurrent = [
         other
         for other in crashes
-        if abs(other.crashed_ms - crash.crashed_ms) <= _TOGETHER_MS
+        if abs(other.crashed_ms - crash.crashed_ms) <= _CONCURRENCY_MS
     ]
     for suspect in suspects:
         served_at_ms = served_ms.get(suspect, crash.crashed_ms - 1)
         cleared = served_at_ms >= crash.crashed_ms
-        if not (cleared or _has_another_cause(suspect, together)):
+        if not (cleared or _has_another_cause(suspect, concurrent)):
             yield suspect
 
 
-def _by_time(crash: EndpointCrash) -> int:
+def _crash_time(crash: EndpointCrash) -> int:
     return crash.crashed_ms
 
 
-def _weight(suspect: Fingerprint, crash: EndpointCrash) -> int:
+def _crash_weight(suspect: Fingerprint, crash: EndpointCrash) -> int:
     if crash.silent and suspect not in crash.silent:
-        return _WEIGHT_OF_STREAMING
-    return _WEIGHT
+        return _STREAMING_WEIGHT
+    return _SILENT_WEIGHT
 
 
 def _has_another_cause(
     suspect: Fingerprint,
-    together: Sequence[EndpointCrash],
+    concurrent: Sequence[EndpointCrash],
 ) -> bool:
-    own = sum(crash.has(suspect) for crash in together)
-    return len(together) - own >= own * _UNRELATED
+    present = sum(crash.has(suspect) for crash in concurrent)
+    return len(concurrent) - present >= present * _UNRELATED_RATIO
