--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -1,4 +1,4 @@
-"""What is remembered of crashes, and its bounds."""
+"""Tests for the crash ledger and its limits."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from wingfall.gateway.model.endpoint_crash import EndpointCrash
 
 DAY_MS = 86_400_000
-MOST_CRASHES = 256
+MAX_CRASHES = 256
 
 
 @pytest.fixture
 def ledger(clock: ManualClock) -> CrashLedger:
-    """Give an empty ledger."""
+    """Return an empty ledger."""
     return CrashLedger(clock=clock)
 
 
-def note(
+def record_crash(
     ledger: CrashLedger,
     clock: ManualClock,
     endpoint: str,
     *silent: bytes,
     streaming: tuple[bytes, ...] = (),
 ) -> None:
-    """Note a crash that is seen now."""
+    """Record a crash at the current time."""
     ledger.note_crash(
         EndpointCrash(
             endpoint=endpoint,
@@ -46,22 +46,22 @@
 def test_suspects_of_one_crash_are_joined(
     ledger: CrashLedger, clock: ManualClock
 ):
-    note(ledger, clock, 'e1', b'a')
-    note(ledger, clock, 'e1', b'b', streaming=(b'c',))
+    record_crash(ledger, clock, 'e1', b'a')
+    record_crash(ledger, clock, 'e1', b'b', streaming=(b'c',))
     (crash,) = ledger.crashes
     assert crash.silent == {b'a', b'b'}
     assert crash.streaming == {b'c'}
 
 
 def test_news_are_told_once(ledger: CrashLedger, clock: ManualClock):
-    note(ledger, clock, 'e1', b'a')
-    note(ledger, clock, 'e1', b'b')
-    (told,) = ledger.take_untold_crashes()
-    assert told.suspects == {b'a', b'b'}
+    record_crash(ledger, clock, 'e1', b'a')
+    record_crash(ledger, clock, 'e1', b'b')
+    (reported,) = ledger.take_untold_crashes()
+    assert reported.suspects == {b'a', b'b'}
     assert not ledger.take_untold_crashes()
-    note(ledger, clock, 'e1', b'b', b'c')
-    (told,) = ledger.take_untold_crashes()
-    assert told.suspects == {b'c'}
+    record_crash(ledger, clock, 'e1', b'b', b'c')
+    (reported,) = ledger.take_untold_crashes()
+    assert reported.suspects == {b'c'}
 
 
 def test_what_a_peer_told_is_not_told_on(
@@ -76,20 +76,20 @@
 
 
 def test_those_who_know_the_same_have_the_same_sum(clock: ManualClock):
-    one, two = CrashLedger(clock=clock), CrashLedger(clock=clock)
-    note(one, clock, 'e1', b'a', b'b')
-    assert one.recent_sum != two.recent_sum
-    note(two, clock, 'e1', b'b')
-    note(two, clock, 'e1', b'a')
-    assert one.recent_sum == two.recent_sum
+    first, second = CrashLedger(clock=clock), CrashLedger(clock=clock)
+    record_crash(first, clock, 'e1', b'a', b'b')
+    assert first.recent_sum != second.recent_sum
+    record_crash(second, clock, 'e1', b'b')
+    record_crash(second, clock, 'e1', b'a')
+    assert first.recent_sum == second.recent_sum
 
 
 def test_flood_of_requests_hides_none_that_comes_again(
     ledger: CrashLedger, clock: ManualClock
 ):
-    note(ledger, clock, 'e1', b'again')
+    record_crash(ledger, clock, 'e1', b'again')
     flood = [b'%03d' % number for number in range(MOST_TOLD * 3)]
-    note(ledger, clock, 'e2', b'again', *flood)
+    record_crash(ledger, clock, 'e2', b'again', *flood)
     crash = ledger.crashes[1]
     assert b'again' in crash.suspects
     assert len(crash.suspects) == MOST_TOLD
@@ -99,7 +99,7 @@
     ledger: CrashLedger, clock: ManualClock
 ):
     flood = [b'%03d' % number for number in range(MOST_TOLD * 3)]
-    note(ledger, clock, 'e1', *flood)
+    record_crash(ledger, clock, 'e1', *flood)
     ledger.take_crash(
         EndpointCrash(
             endpoint='e1',
@@ -115,26 +115,26 @@
     ledger: CrashLedger, clock: ManualClock
 ):
     for number in range(MOST_SUSPECTS * 2):
-        note(ledger, clock, 'e1', b'%03d' % number)
+        record_crash(ledger, clock, 'e1', b'%03d' % number)
     assert len(ledger.crashes[0].suspects) == MOST_SUSPECTS
 
 
 def test_crashes_of_a_day_are_bounded(ledger: CrashLedger, clock: ManualClock):
-    for number in range(MOST_CRASHES + 10):
-        note(ledger, clock, f'e{number}', b'r%d' % number)
+    for number in range(MAX_CRASHES + 10):
+        record_crash(ledger, clock, f'e{number}', b'r%d' % number)
         clock.advance(1)
     ledger.trim({'e0'})
-    left = {crash.endpoint for crash in ledger.crashes}
-    assert len(left) == MOST_CRASHES
-    # What a request is blocked for is forgotten last.
-    assert 'e0' in left
-    assert 'e1' not in left
+    remaining = {crash.endpoint for crash in ledger.crashes}
+    assert len(remaining) == MAX_CRASHES
+    # Crashes that block a request are removed last.
+    assert 'e0' in remaining
+    assert 'e1' not in remaining
 
 
 def test_crash_is_forgotten_after_a_day(
     ledger: CrashLedger, clock: ManualClock
 ):
-    note(ledger, clock, 'e1', b'a')
+    record_crash(ledger, clock, 'e1', b'a')
     clock.advance(DAY_MS)
     ledger.forget_old()
     assert not ledger.crashes
@@ -144,7 +144,7 @@
 def test_good_answer_speaks_for_a_suspect_and_is_told(
     ledger: CrashLedger, clock: ManualClock
 ):
-    note(ledger, clock, 'e1', b'a')
+    record_crash(ledger, clock, 'e1', b'a')
     clock.advance(5)
     ledger.note_served(b'a')
     assert ledger.served_ms == {b'a': clock.now_ms()}
@@ -160,7 +160,7 @@
     ledger.note_served(b'a')
     served_ms = clock.now_ms()
     clock.advance(1000)
-    note(ledger, clock, 'e1', b'a')
+    record_crash(ledger, clock, 'e1', b'a')
     assert ledger.take_untold_served() == {b'a': served_ms}
 
 
@@ -169,7 +169,7 @@
 ):
     ledger.note_served(b'a')
     clock.advance(60_000)
-    note(ledger, clock, 'e1', b'a')
+    record_crash(ledger, clock, 'e1', b'a')
     assert not ledger.served_ms
 
 
@@ -191,9 +191,9 @@
     if lost_after_ms < 0:
         ledger.note_gateway_lost('g2')
         clock.advance(-lost_after_ms)
-        note(ledger, clock, 'e1', b'a')
+        record_crash(ledger, clock, 'e1', b'a')
     else:
-        note(ledger, clock, 'e1', b'a')
+        record_crash(ledger, clock, 'e1', b'a')
         clock.advance(lost_after_ms)
         ledger.note_gateway_lost('g2')
     assert ledger.crashes[0].incomplete == incomplete
@@ -202,10 +202,10 @@
 def test_loss_of_all_gateways_of_a_fleet_costs_little(
     ledger: CrashLedger, clock: ManualClock
 ):
-    # In the loop of a gateway: some tens of milliseconds, 0.8 s if each crash
-    # is compared with all losses again.
-    for number in range(MOST_CRASHES):
-        note(ledger, clock, f'e{number}', b'r%d' % number)
+    # This runs in the event loop of a gateway: some tens of milliseconds, 0.8 s
+    # if each loss compares every crash with all losses again.
+    for number in range(MAX_CRASHES):
+        record_crash(ledger, clock, f'e{number}', b'r%d' % number)
     clock.advance(1000)
     began_ns = time.process_time_ns()
     for number in range(297):
@@ -216,6 +216,6 @@
 def test_crash_that_the_lost_gateway_has_told_itself_is_complete(
     ledger: CrashLedger, clock: ManualClock
 ):
-    note(ledger, clock, 'e1', b'a')
+    record_crash(ledger, clock, 'e1', b'a')
     ledger.note_gateway_lost('g1')
     assert not ledger.crashes[0].incomplete
--- a/wingfall/gateway/knowledge/crash_ledger.py
+++ b/wingfall/gateway/knowledge/crash_ledger.py
@@ -1,10 +1,10 @@
-"""Which endpoints crashed, and which requests were there.
+"""Endpoint crashes, and the requests that were present at each.
 
-What one request does to endpoints is seen in parts by all gateways, since it
-comes again at any of them; each tells the others (see
-:mod:`wingfall.gateway.peers.crash_exchange`). Owns the crashes, and the good
-answers that clear requests that were beside them. Only crashes are remembered,
-so requests that crash nothing can't fill it.
+Each gateway sees only some of the crashes that one request causes, since the
+request is retried at any of them; they report crashes to each other (see
+:mod:`wingfall.gateway.peers.crash_exchange`). Owns the crashes, and the
+successful answers that clear suspect requests. Only crashes are stored, so
+requests that crash nothing can't fill the ledger.
 """
 
 from __future__ import annotations
@@ -25,29 +25,30 @@
     from wingfall.clock import Clock
     from wingfall.gateway.model.fingerprint import Fingerprint
 
-# Crashes that are remembered. Some 170 VMs fail a day at the size in two years,
-# with 12,000 endpoints. With all suspects below, 3 MB.
-_MOST_CRASHES: Final = 256
-# Requests that are remembered of one crash: twice the slots of a large engine.
+# Stored crashes. Some 170 VMs fail a day at the size expected in two years,
+# with 12,000 endpoints. 3 MB with the maximum number of suspects.
+_MAX_CRASHES: Final = 256
+# Requests stored for one crash: twice the slots of a large engine.
 MOST_SUSPECTS: Final = 128
-# Requests that one gateway tells of one crash, so that a flood of unlike ones
-# at some gateways leaves room for what others have seen.
+# Requests that one gateway reports for one crash, so that a flood of different
+# requests at some gateways leaves capacity for the reports of others.
 MOST_TOLD: Final = 32
-# Milliseconds for which a crash is remembered: a day, so that a request that
-# comes again each night ends no more endpoints than in one night.
-_REMEMBERED_MS: Final = 86_400_000
-# Milliseconds for which a crash is compared with what peers know. Many
-# heartbeats, and longer than gateways are cut off from each other.
-_COMPARED_MS: Final = 60_000
-# Requests whose last good answer is remembered, and for how many milliseconds.
-# At 50 answers a second that is 40 s of unlike requests; about 0.4 MB.
-_MOST_SERVED: Final = 2048
-_SERVED_MS: Final = 60_000
+# Milliseconds for which a crash is stored: a day, so that a request retried
+# each night crashes no more endpoints than in one night.
+_RETENTION_MS: Final = 86_400_000
+# Milliseconds for which a crash is part of the digest for peers. Many
+# heartbeats, and longer than gateways are disconnected from each other.
+_DIGEST_WINDOW_MS: Final = 60_000
+# Requests whose last successful answer is stored, and its validity in
+# milliseconds. At 50 answers a second that is 40 s of different requests;
+# about 0.4 MB.
+_MAX_SERVED_REQUESTS: Final = 2048
+_SERVED_RETENTION_MS: Final = 60_000
 
 
 @final
 class CrashLedger:
-    """The crashes of a day, the requests there, and what clears these."""
+    """The crashes of a day, their suspects and what clears these."""
 
     __slots__ = (
         '_clock',
@@ -56,57 +57,57 @@
         '_lost',
         '_recently_served_ms',
         '_served_ms',
-        '_sums',
-        '_untold_crashes',
-        '_untold_served',
+        '_digests',
+        '_unreported_crashes',
+        '_unreported_served',
         'news',
         'revision',
     )
 
     def __init__(self, *, clock: Clock) -> None:
-        """Start without a crash.
+        """Initialize without a crash.
 
-        :param clock: the time.
+        :param clock: source of the current time.
         """
         self._clock = clock
         self._crashes: dict[str, EndpointCrash] = {}
-        self._sums = CrashSums()
+        self._digests = CrashSums()
         self._lost = LostGateways(clock=clock)
-        # When a suspect was last at a crash.
+        # Time of the last crash of each suspect.
         self._last_crash_ms: dict[Fingerprint, int] = {}
-        # When a suspect was last answered well, by any gateway.
+        # Time of the last successful answer to each suspect, by any gateway.
         self._served_ms: dict[Fingerprint, int] = {}
-        # Good answers of this gateway, the last at the end.
+        # Successful answers of this gateway, the latest last.
         self._recently_served_ms: dict[Fingerprint, int] = {}
-        # What peers have not heard of.
-        self._untold_crashes: dict[str, EndpointCrash] = {}
-        self._untold_served: set[Fingerprint] = set()
-        # Set while there is something that peers have not heard of.
+        # Changes not yet reported to peers.
+        self._unreported_crashes: dict[str, EndpointCrash] = {}
+        self._unreported_served: set[Fingerprint] = set()
+        # Set while there are unreported changes.
         self.news = Event()
-        # Counts the changes.
+        # Number of changes so far.
         self.revision = 0
 
     @property
     def crashes(self) -> list[EndpointCrash]:
-        """The crashes that are remembered."""
+        """All stored crashes."""
         return list(self._crashes.values())
 
     @property
     def served_ms(self) -> dict[Fingerprint, int]:
-        """When suspects were last answered well; must not be changed."""
+        """Times of the last successful answers to suspects; read-only."""
         return self._served_ms
 
     @property
     def recent_sum(self) -> int:
-        """A number that is the same for gateways that know the same."""
-        return self._sums.combine(self.recent())
+        """A number equal for gateways with equal recent crashes."""
+        return self._digests.combine(self.recent())
 
     def recent(self) -> list[EndpointCrash]:
-        """List the crashes that are compared with what peers know.
+        """Return the crashes that are part of the digest.
 
         :returns: the crashes of the last minute.
         """
-        oldest_ms = self._clock.now_ms() - _COMPARED_MS
+        oldest_ms = self._clock.now_ms() - _DIGEST_WINDOW_MS
         return [
             crash
             for crash in self._crashes.values()
@@ -114,30 +115,30 @@
         ]
 
     def note_crash(self, crash: EndpointCrash) -> None:
-        """Note a crash that this gateway has seen.
+        """Record a crash that this gateway has seen.
 
         :param crash: the crash, with this gateway's suspects.
         """
-        chosen = self._choose(crash, crash.suspects, MOST_TOLD)
-        added = self.take_crash(crash.narrowed(chosen))
+        selected = self._select_suspects(crash, crash.suspects, MOST_TOLD)
+        added = self.take_crash(crash.narrowed(selected))
         if added is not None:
-            told = self._untold_crashes.setdefault(crash.endpoint, added)
-            told.silent |= added.silent
-            told.streaming |= added.streaming
+            report = self._unreported_crashes.setdefault(crash.endpoint, added)
+            report.silent |= added.silent
+            report.streaming |= added.streaming
             self.news.set()
 
     def take_crash(self, crash: EndpointCrash) -> EndpointCrash | None:
-        """Add what is not known of a crash.
+        """Merge a crash and its suspects into the stored crashes.
 
-        :param crash: the crash, as seen here or told by a peer.
-        :returns: what was new of it, None if nothing was.
+        :param crash: the crash, as seen here or reported by a peer.
+        :returns: the crash with its new suspects, None if there is no change.
         """
-        if self._clock.now_ms() - crash.crashed_ms >= _REMEMBERED_MS:
+        if self._clock.now_ms() - crash.crashed_ms >= _RETENTION_MS:
             return None
         known = self._crashes.get(crash.endpoint)
         suspects = known.suspects if known else set()
-        room = MOST_SUSPECTS - len(suspects)
-        new = self._choose(crash, crash.suspects - suspects, room)
+        capacity = MOST_SUSPECTS - len(suspects)
+        new = self._select_suspects(crash, crash.suspects - suspects, capacity)
         if known is not None and not new:
             return None
         added = crash.narrowed(new)
@@ -145,97 +146,98 @@
         return added
 
     def note_gateway_lost(self, name: str) -> None:
-        """Note that a gateway has ended without a planned stop.
+        """Record that a gateway has ended without a planned stop.
 
-        :param name: its name.
+        :param name: name of the gateway.
         """
         self._lost.note(name)
         for crash in self._crashes.values():
-            # Only this loss: all gateways of a fleet may be lost at once.
+            # Check only this loss: a whole fleet may be lost at once.
             if not crash.incomplete and self._lost.was_beside(name, crash):
                 crash.incomplete = True
                 self.revision += 1
 
     def note_served(self, fingerprint: Fingerprint) -> None:
-        """Note a good answer of an endpoint.
+        """Record a successful answer of an endpoint.
 
         :param fingerprint: the request.
         """
         now_ms = self._clock.now_ms()
         self._recently_served_ms.pop(fingerprint, None)
         self._recently_served_ms[fingerprint] = now_ms
-        if len(self._recently_served_ms) > _MOST_SERVED:
+        if len(self._recently_served_ms) > _MAX_SERVED_REQUESTS:
             self._recently_served_ms.pop(next(iter(self._recently_served_ms)))
         crashed_ms = self._last_crash_ms.get(fingerprint)
         if crashed_ms is None:
             return
-        # One good answer after a crash clears it; more tell nothing new.
+        # One successful answer after a crash clears the request; further
+        # answers add nothing.
         if self._served_ms.get(fingerprint, crashed_ms - 1) < crashed_ms:
             self._set_served(fingerprint, now_ms)
-            self._tell_served(fingerprint)
+            self._report_served(fingerprint)
 
     def take_served(self, fingerprint: Fingerprint, served_ms: int) -> None:
-        """Take a good answer that a peer tells of.
+        """Merge a successful answer that a peer reports.
 
         :param fingerprint: the request.
-        :param served_ms: when it was, by this gateway's clock.
+        :param served_ms: time of the answer, by this gateway's clock.
         """
         if fingerprint in self._last_crash_ms:
             self._set_served(fingerprint, served_ms)
 
     def take_untold_crashes(self) -> list[EndpointCrash]:
-        """Take the crashes that peers have not heard of.
+        """Return and clear the crashes not yet reported to peers.
 
         :returns: the crashes, each with its new suspects.
         """
-        untold = list(self._untold_crashes.values())
-        self._untold_crashes = {}
-        return untold
+        unreported = list(self._unreported_crashes.values())
+        self._unreported_crashes = {}
+        return unreported
 
     def take_untold_served(self) -> dict[Fingerprint, int]:
-        """Take the good answers that peers have not heard of.
+        """Return and clear the successful answers not yet reported to peers.
 
-        :returns: when each was, by this gateway's clock.
+        :returns: the time of each answer, by this gateway's clock.
         """
-        untold = self._untold_served & self._served_ms.keys()
-        self._untold_served = set()
-        return {each: self._served_ms[each] for each in untold}
+        unreported = self._unreported_served & self._served_ms.keys()
+        self._unreported_served = set()
+        return {each: self._served_ms[each] for each in unreported}
 
     def forget_old(self) -> None:
-        """Forget the crashes of more than a day ago."""
-        oldest_ms = self._clock.now_ms() - _REMEMBERED_MS
-        old = [
+        """Remove crashes that are older than a day."""
+        oldest_ms = self._clock.now_ms() - _RETENTION_MS
+        expired = [
             name
             for name, crash in self._crashes.items()
             if crash.crashed_ms <= oldest_ms
         ]
-        if old:
-            self._drop(old)
+        if expired:
+            self._remove(expired)
 
     def trim(self, kept: set[str]) -> None:
-        """Keep the bound of number.
+        """Remove the oldest crashes above the limit.
 
-        :param kept: endpoints whose crashes are forgotten last, since a
-            request is blocked for them.
+        :param kept: endpoints whose crashes are removed last, since a
+            request is blocked because of them.
         """
-        beyond = len(self._crashes) - _MOST_CRASHES
-        if beyond <= 0:
+        excess = len(self._crashes) - _MAX_CRASHES
+        if excess <= 0:
             return
-        order = sorted(
+        ordered = sorted(
             self._crashes,
             key=lambda name: (name in kept, self._crashes[name].crashed_ms),
         )
-        self._drop(order[:beyond])
+        self._remove(ordered[:excess])
 
-    def _choose(
+    def _select_suspects(
         self,
         crash: EndpointCrash,
         suspects: set[Fingerprint],
-        room: int,
+        capacity: int,
     ) -> set[Fingerprint]:
-        # Those that were at other crashes first, then by chance, so that a
-        # flood of unlike requests can't hide one that comes again.
-        order = sorted(
+        # Suspects of other crashes first, then in random order, so that a
+        # flood of different requests can't hide a retried request.
+        ordered = sorted(
             suspects,
             key=lambda each: (
                 each not in self._last_crash_ms,
@@ -243,11 +245,11 @@
                 random.random(),  # noqa: S311
             ),
         )
-        return set(order[: max(0, room)])
+        return set(ordered[: max(0, capacity)])
 
     def _merge(self, known: EndpointCrash | None, added: EndpointCrash) -> None:
         if known is None:
-            # A copy, since the ledger's own entry changes later on.
+            # Copy the crash, since the stored entry changes later.
             self._crashes[added.endpoint] = added.narrowed(added.suspects)
         else:
             known.silent |= added.silent
@@ -258,7 +260,7 @@
             merged.incomplete = True
         self.revision += 1
         for suspect in added.suspects:
-            self._sums.add(added.endpoint, suspect)
+            self._digests.add(added.endpoint, suspect)
             self._note_suspect(suspect, added.crashed_ms)
 
     def _note_suspect(self, suspect: Fingerprint, crashed_ms: int) -> None:
@@ -267,9 +269,9 @@
         served_ms = self._recently_served_ms.get(suspect)
         if served_ms is None or suspect in self._served_ms:
             return
-        if self._clock.now_ms() - served_ms < _SERVED_MS:
+        if self._clock.now_ms() - served_ms < _SERVED_RETENTION_MS:
             self._set_served(suspect, served_ms)
-            self._tell_served(suspect)
+            self._report_served(suspect)
 
     def _set_served(self, fingerprint: Fingerprint, served_ms: int) -> None:
         known_ms = self._served_ms.get(fingerprint)
@@ -277,21 +279,21 @@
             self._served_ms[fingerprint] = served_ms
             self.revision += 1
 
-    def _tell_served(self, fingerprint: Fingerprint) -> None:
-        self._untold_served.add(fingerprint)
+    def _report_served(self, fingerprint: Fingerprint) -> None:
+        self._unreported_served.add(fingerprint)
         self.news.set()
 
-    def _drop(self, endpoints: Iterable[str]) -> None:
+    def _remove(self, endpoints: Iterable[str]) -> None:
         for name in endpoints:
             self._crashes.pop(name)
-            self._sums.drop(name)
-            self._untold_crashes.pop(name, None)
-        left = set(
+            self._digests.drop(name)
+            self._unreported_crashes.pop(name, None)
+        remaining = set(
             itertools.chain.from_iterable(
                 crash.suspects for crash in self._crashes.values()
             ),
         )
         for known in (self._last_crash_ms, self._served_ms):
-            for fingerprint in known.keys() - left:
+            for fingerprint in known.keys() - remaining:
                 known.pop(fingerprint)
         self.revision += 1
--- a/wingfall/gateway/knowledge/crash_sums.py
+++ b/wingfall/gateway/knowledge/crash_sums.py
@@ -1,4 +1,4 @@
-"""Numbers by which gateways compare what they know of crashes."""
+"""Digests by which gateways compare the crashes that they know."""
 
 from __future__ import annotations
 
@@ -12,46 +12,46 @@
     from wingfall.gateway.model.endpoint_crash import EndpointCrash
     from wingfall.gateway.model.fingerprint import Fingerprint
 
-# Bytes of such a number.
-_SUM_BYTES: Final = 8
+# Bytes of a digest.
+_DIGEST_BYTES: Final = 8
 
 
 @final
 class CrashSums:
-    """What each crash adds to the number that gateways compare."""
+    """The digest of the suspect requests of each crash."""
 
-    __slots__ = ('_sums',)
+    __slots__ = ('_digests',)
 
     def __init__(self) -> None:
-        """Start without a crash."""
-        self._sums: dict[str, int] = collections.defaultdict(int)
+        """Initialize without a crash."""
+        self._digests: dict[str, int] = collections.defaultdict(int)
 
     def add(self, endpoint: str, suspect: Fingerprint) -> None:
-        """Add a request that was at a crash.
+        """Add a request to the digest of a crash.
 
         :param endpoint: the endpoint that crashed.
-        :param suspect: the request.
+        :param suspect: fingerprint of the request.
         """
         digest = hashlib.blake2b(
             endpoint.encode() + suspect,
-            digest_size=_SUM_BYTES,
+            digest_size=_DIGEST_BYTES,
         )
-        self._sums[endpoint] ^= int.from_bytes(digest.digest(), 'big')
+        self._digests[endpoint] ^= int.from_bytes(digest.digest(), 'big')
 
     def drop(self, endpoint: str) -> None:
-        """Forget a crash.
+        """Remove the digest of a crash.
 
         :param endpoint: the endpoint that crashed.
         """
-        self._sums.pop(endpoint, None)
+        self._digests.pop(endpoint, None)
 
     def combine(self, crashes: Iterable[EndpointCrash]) -> int:
-        """Give the number of some crashes.
+        """Combine the digests of some crashes.
 
         :param crashes: the crashes.
-        :returns: the same for all gateways that know the same of them.
+        :returns: a number equal for gateways that know the same suspects.
         """
         combined = 0
         for crash in crashes:
-            combined ^= self._sums[crash.endpoint]
+            combined ^= self._digests[crash.endpoint]
         return combined
