--- a/wingfall/gateway/knowledge/crash_ledger.py
+++ b/wingfall/gateway/knowledge/crash_ledger.py
@@ -214,18 +214,18 @@
         if expired:
             self._remove(expired)
 
-    def trim(self, kept: set[str]) -> None:
+    def trim(self, blocking: set[str]) -> None:
         """Remove the oldest crashes above the limit.
 
-        :param kept: endpoints whose crashes are removed last, since a
-            request is blocked because of them.
+        :param blocking: endpoints whose crashes are removed last, since they
+            block a request.
         """
         excess = len(self._crashes) - _MAX_CRASHES
         if excess <= 0:
             return
         ordered = sorted(
             self._crashes,
-            key=lambda name: (name in kept, self._crashes[name].crashed_ms),
+            key=lambda name: (name in blocking, self._crashes[name].crashed_ms),
         )
         self._remove(ordered[:excess])
 
