--- a/tests/test_engine_speeds.py
+++ b/tests/test_engine_speeds.py
@@ -1,4 +1,4 @@
-"""The speeds of all engines."""
+"""Speeds of the engines of several pools."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 from wingfall.gateway.knowledge.engine_speeds import EngineSpeeds
 
-READ = 8000
+PREFILL_TOKENS = 8000
 
 
-def read(speeds: EngineSpeeds, engine: str, elapsed_ms: int) -> None:
-    """Have an engine read often enough for its rate to settle."""
-    for _read in range(60):
-        speeds.note_start(engine, 'pool', READ, elapsed_ms)
+def record_prefills(speeds: EngineSpeeds, engine: str, elapsed_ms: int) -> None:
+    """Record enough prefills of an engine for its rate to settle."""
+    for _prefill in range(60):
+        speeds.note_start(engine, 'pool', PREFILL_TOKENS, elapsed_ms)
 
 
 def test_engines_have_rates_of_their_own():
     speeds = EngineSpeeds()
-    read(speeds, 'fast', 230)
-    read(speeds, 'slow', 430)
+    record_prefills(speeds, 'fast', 230)
+    record_prefills(speeds, 'slow', 430)
     fast, slow = (speeds.find(each, 'pool') for each in ('fast', 'slow'))
     assert fast.rate.tokens_per_ms == pytest.approx(40, rel=0.02)
     assert slow.rate.tokens_per_ms == pytest.approx(20, rel=0.02)
@@ -26,7 +26,7 @@
 
 def test_new_engine_starts_with_the_average_of_its_pool():
     speeds = EngineSpeeds()
-    read(speeds, 'known', 230)
+    record_prefills(speeds, 'known', 230)
     new = speeds.find('new', 'pool').rate.tokens_per_ms
     assert new == pytest.approx(speeds.average('pool').tokens_per_ms)
     assert speeds.find('other', 'other pool').rate.tokens_per_ms < new
@@ -41,7 +41,7 @@
 
 def test_engine_that_left_is_forgotten():
     speeds = EngineSpeeds()
-    read(speeds, 'gone', 430)
+    record_prefills(speeds, 'gone', 430)
     slow = speeds.find('gone', 'pool')
     speeds.keep_only({'other'})
     assert speeds.find('gone', 'pool') is not slow
--- a/wingfall/gateway/knowledge/engine_speeds.py
+++ b/wingfall/gateway/knowledge/engine_speeds.py
@@ -1,8 +1,8 @@
-"""How fast all engines are, each by itself and a pool's on average.
+"""Speeds of all engines, and the average prefill rates of pools.
 
-Owns them by name. How rates are learned is a choice of the settings: by each
-gateway alone, as an average that a new engine begins with as well, or by all
-gateways together.
+The speeds are stored by engine name. A setting selects how prefill rates are
+measured: by each gateway alone, as an average that a new engine starts with as
+well, or by all gateways together.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 
 
 class Rates(Protocol):
-    """How the rates of engines are learned."""
+    """The measured prefill rates of engines."""
 
     def find(self, engine: str, pool: str) -> Rate:
-        """Give the rate of an engine."""
+        """Return the rate of an engine."""
 
     def look(self, engine: str, pool: str) -> Rate:
-        """Give the rate of an engine, or its pool's, and learn nothing."""
+        """Return the rate of an engine, or of its pool, without adding it."""
 
     def of_pool(self, pool: str) -> Rate:
-        """Give the rate of a pool's engines on the whole."""
+        """Return the overall rate of a pool's engines."""
 
     def note(
         self,
@@ -43,34 +43,34 @@
         elapsed_ms: float,
         waiting: int = 0,
     ) -> None:
-        """Learn from a prompt whose answer has begun."""
+        """Update the rates from a prompt whose answer has begun."""
 
     def note_short(
         self, engine: str, pool: str, tokens: int, elapsed_ms: float
     ) -> None:
-        """Learn from one that was too short to tell of the reading."""
+        """Record a prompt that is too short to measure the prefill rate."""
 
     def fixed_ms(self, pool: str) -> float | None:
-        """Tell the fixed time of a first event, None if it isn't learned."""
+        """Return the fixed time of a first event, None if not measured."""
 
     def take_told(self, engine: str, pool: str, rates: list[int]) -> None:
-        """Take readings of another gateway."""
+        """Merge samples that another gateway reported."""
 
     def take_untold(self) -> list[list[Any]]:
-        """Take the readings that peers have not heard of."""
+        """Return and clear the samples not yet reported to peers."""
 
     def write_all(self) -> list[list[Any]]:
-        """Write what is known, for a gateway that starts."""
+        """Encode all rates for a gateway that starts."""
 
     def keep_only(self, names: set[str]) -> None:
-        """Forget engines that are not listed any more."""
+        """Remove engines that are no longer listed."""
 
 
 class RatesFactory(Protocol):
-    """How the rates of engines are made."""
+    """A factory of prefill rates."""
 
     def __call__(self, *, clock: Clock) -> Rates:
-        """Make them without a reading."""
+        """Create rates without samples."""
 
 
 read_rates: Final[Registry[RatesFactory]] = Registry(kind='read rates')
@@ -80,7 +80,7 @@
 
 @final
 class EngineSpeeds:
-    """How fast each engine is."""
+    """The speeds of all engines by name."""
 
     __slots__ = ('_by_engine', '_full_gaps', '_longest_gaps', 'rates')
 
@@ -90,10 +90,10 @@
         rates: Rates | None = None,
         full_gaps: FullGaps | None = None,
     ) -> None:
-        """Start without a measurement.
+        """Initialize the speeds without samples.
 
-        :param rates: how fast engines read.
-        :param full_gaps: keeps gaps beside reads of each engine, if given.
+        :param rates: prefill rates of the engines.
+        :param full_gaps: stores each engine's gaps during prefill, if given.
         """
         self.rates: Rates = rates or OwnRates()
         self._full_gaps = full_gaps
@@ -101,11 +101,11 @@
         self._longest_gaps: dict[str, LongestGap] = {}
 
     def find(self, engine: str, pool: str) -> EngineSpeed:
-        """Give what an engine has shown.
+        """Return the speed of an engine.
 
-        :param engine: its name.
-        :param pool: its pool, by whose engines a new engine is judged.
-        :returns: its speed.
+        :param engine: name of the engine.
+        :param pool: its pool, whose estimates a new engine starts with.
+        :returns: the speed, which follows later samples.
         """
         speed = self._by_engine.get(engine)
         if speed is None:
@@ -119,9 +119,9 @@
         return speed
 
     def average(self, pool: str) -> Rate:
-        """Give how fast the engines of a pool read on the whole.
+        """Return the overall prefill rate of a pool's engines.
 
-        :param pool: its name.
+        :param pool: name of the pool.
         :returns: the rate.
         """
         return self.rates.of_pool(pool)
@@ -134,26 +134,27 @@
         elapsed_ms: int,
         waiting: int = 0,
     ) -> None:
-        """Learn from a prompt whose answer has begun.
-
-        :param engine: the engine that read it.
-        :param pool: its pool.
-        :param tokens: what was to be read before it and for it.
-        :param elapsed_ms: time from its sending to its first event.
-        :param waiting: how much of that was before it.
+        """Record a prompt whose answer has begun.
+
+        :param engine: name of the engine that prefilled the prompt.
+        :param pool: name of the engine's pool.
+        :param tokens: prefill tokens of the prompt and of those before it.
+        :param elapsed_ms: milliseconds from sending the prompt to the first
+            event of its answer.
+        :param waiting: how many of the tokens were pending before the prompt.
         """
         self.rates.note_short(engine, pool, tokens, elapsed_ms)
         fixed_ms = self.rates.fixed_ms(pool)
         if fixed_ms is None:
-            # The first event takes a step of its own after the reading.
+            # The first event takes a step of its own after the prefill.
             fixed_ms = self.find(engine, pool).idle_gap_ms
         read_ms = elapsed_ms - fixed_ms
         self.rates.note(engine, pool, tokens, read_ms, waiting)
 
     def keep_only(self, names: set[str]) -> None:
-        """Forget engines that are not listed any more.
+        """Remove engines that are no longer listed.
 
-        :param names: the engines that are listed.
+        :param names: names of the listed engines.
         """
         self.rates.keep_only(names)
         for name in self._by_engine.keys() - names:
