--- a/tests/test_reading_window.py
+++ b/tests/test_reading_window.py
@@ -1,4 +1,4 @@
-"""Readings of an engine and the rate that they show."""
+"""Samples of an engine and the prefill rate estimated from them."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 FAST = 60
 SLOW = 25
-ABSURD = 500
-SPELL = 5
-# Milliseconds between two readings of a busy engine.
+OUTLIER = 500
+SLOWDOWN = 5
+# Milliseconds between two samples of a busy engine.
 STEP_MS = 50
 LATER_MS = 15_000
 
 
-def show(
+def record(
     window: ReadingWindow, *rates: float, from_ms: int = 0
 ) -> ReadingWindow:
-    """Have an engine read some prompts, one soon after the other."""
+    """Record samples of an engine at short intervals."""
     for number, rate in enumerate(rates):
         window.note(rate, from_ms + number * STEP_MS)
     return window
@@ -34,21 +34,23 @@
 
 
 def test_prompts_of_others_that_came_before_do_not_count():
-    seen = [FAST, SLOW, FAST * 0.9, SLOW, FAST, SLOW, FAST, SLOW]
-    assert show(ReadingWindow(), *seen).rate == pytest.approx(FAST, rel=0.1)
+    samples = [FAST, SLOW, FAST * 0.9, SLOW, FAST, SLOW, FAST, SLOW]
+    assert record(ReadingWindow(), *samples).rate == pytest.approx(
+        FAST, rel=0.1
+    )
 
 
 @pytest.mark.parametrize('before', [2, 3, 5, 15, 40])
-@pytest.mark.parametrize('wrong', [ABSURD, 2])
-def test_one_absurd_reading_changes_little(before: int, wrong: float):
-    window = show(ReadingWindow(), *repeat(FAST, before))
-    window.note(wrong, before * STEP_MS)
+@pytest.mark.parametrize('outlier', [OUTLIER, 2])
+def test_one_absurd_reading_changes_little(before: int, outlier: float):
+    window = record(ReadingWindow(), *repeat(FAST, before))
+    window.note(outlier, before * STEP_MS)
     assert window.rate == FAST
 
 
 def test_slow_spell_does_not_make_an_engine_slow():
-    window = show(ReadingWindow(), *repeat(FAST, 11), *repeat(SPELL, 5))
-    # A high quantile of sixteen bears thirteen that are too low.
+    window = record(ReadingWindow(), *repeat(FAST, 11), *repeat(SLOWDOWN, 5))
+    # A high quantile of sixteen tolerates thirteen samples that are too low.
     assert window.rate == FAST
 
 
@@ -56,34 +58,34 @@
 def test_engine_that_changed_is_followed_within_its_window(
     before: float, after: float
 ):
-    window = show(ReadingWindow(), *repeat(before, 30))
-    show(window, *repeat(after, 14), from_ms=30 * STEP_MS)
+    window = record(ReadingWindow(), *repeat(before, 30))
+    record(window, *repeat(after, 14), from_ms=30 * STEP_MS)
     assert window.rate == after
 
 
 def test_engine_that_turned_quick_is_known_after_three_readings():
-    window = show(ReadingWindow(), *repeat(SLOW, 30), *repeat(FAST, 3))
+    window = record(ReadingWindow(), *repeat(SLOW, 30), *repeat(FAST, 3))
     assert window.rate == FAST
 
 
 def test_old_readings_go_once_there_are_newer_ones():
-    window = show(ReadingWindow(), *repeat(FAST, 16))
-    show(window, SLOW, SLOW, SLOW, from_ms=LATER_MS)
+    window = record(ReadingWindow(), *repeat(FAST, 16))
+    record(window, SLOW, SLOW, SLOW, from_ms=LATER_MS)
     assert window.rate == SLOW
 
 
 def test_old_readings_stay_while_there_are_no_newer_ones():
-    window = show(ReadingWindow(), *repeat(FAST, 16))
-    show(window, SLOW, from_ms=LATER_MS)
+    window = record(ReadingWindow(), *repeat(FAST, 16))
+    record(window, SLOW, from_ms=LATER_MS)
     assert window.rate == FAST
     assert not window.is_old(LATER_MS)
     assert window.is_old(2 * LATER_MS)
 
 
 def test_further_readings_are_needed_while_few_are_recent():
-    window = show(ReadingWindow(), *repeat(FAST, 7))
+    window = record(ReadingWindow(), *repeat(FAST, 7))
     assert window.needs_more(7 * STEP_MS)
-    show(window, FAST, from_ms=7 * STEP_MS)
+    record(window, FAST, from_ms=7 * STEP_MS)
     assert not window.needs_more(8 * STEP_MS)
     assert window.needs_more(LATER_MS)
 
@@ -93,15 +95,15 @@
     window.note_belief(FAST, 0)
     assert window.rate == FAST
     for _peer in range(20):
-        window.note_belief(ABSURD, 0)
+        window.note_belief(OUTLIER, 0)
     assert window.rate == FAST
-    seen = show(ReadingWindow(), SLOW)
-    seen.note_belief(FAST, STEP_MS)
-    assert seen.rate == SLOW
+    sampled = record(ReadingWindow(), SLOW)
+    sampled.note_belief(FAST, STEP_MS)
+    assert sampled.rate == SLOW
 
 
 @pytest.mark.parametrize(
-    ('numbers', 'part', 'found'),
+    ('numbers', 'fraction', 'expected'),
     [
         ([7], 0.8, 7),
         ([7, 3], 0.8, 3),
@@ -111,5 +113,7 @@
         (range(16), 1, 15),
     ],
 )
-def test_quantile_is_one_of_the_numbers(numbers, part: float, found: float):
-    assert quantile(numbers, part) == found
+def test_quantile_is_one_of_the_numbers(
+    numbers, fraction: float, expected: float
+):
+    assert quantile(numbers, fraction) == expected
--- a/wingfall/gateway/knowledge/quantile.py
+++ b/wingfall/gateway/knowledge/quantile.py
@@ -1,4 +1,4 @@
-"""The number below which a part of some numbers lies."""
+"""Quantiles of small samples."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
     from collections.abc import Iterable
 
 
-def quantile(numbers: Iterable[float], part: float) -> float:
-    """Find the number below which a part of some numbers lies.
+def quantile(numbers: Iterable[float], fraction: float) -> float:
+    """Return the quantile of some numbers, rounded down to one of them.
 
-    Of two numbers or more the highest is given for the part 1 only, so that one
-    that is far too high doesn't count.
+    The highest of two or more numbers is returned for the fraction 1 only, so
+    that a single outlier above the others has no effect.
 
     :param numbers: the numbers, at least one.
-    :param part: the part, 0 to 1.
+    :param fraction: the fraction of the numbers below the quantile, 0 to 1.
     :returns: one of the numbers.
     """
     ordered = sorted(numbers)
-    return ordered[int((len(ordered) - 1) * part)]
+    return ordered[int((len(ordered) - 1) * fraction)]
--- a/wingfall/gateway/knowledge/reading_window.py
+++ b/wingfall/gateway/knowledge/reading_window.py
@@ -1,9 +1,9 @@
-"""The last readings of an engine, and the rate that they show.
+"""The last prefill rate samples of an engine, and the rate estimated from them.
 
-Answers engines that many gateways use at once: what waits there before a prompt
-makes a reading too low, and only a prompt that was cached after all makes one
-too high, so that a high quantile of the readings is the engine's rate and one
-wrong reading moves it by one place.
+Many gateways may use an engine at once. Tokens pending there before a prompt
+make a sample too low, and only a prompt that was cached unexpectedly makes one
+too high. So a high quantile of the samples is the engine's rate, and one wrong
+sample moves it by one rank.
 """
 
 from __future__ import annotations
@@ -13,85 +13,86 @@
 
 from wingfall.gateway.knowledge.quantile import quantile
 
-# Readings of one engine that are kept. Enough that a slow spell of half a
-# second is a small part of them, few enough that an engine that turned slow is
-# known after a dozen readings.
-_KEPT: Final = 16
-# The reading that counts, as a part of all in ascending order.
-_RATE_PART: Final = 0.9
-# Milliseconds after which a reading goes once there are newer ones.
-_OLD_MS: Final = 10_000
-# Newer readings that are enough to let an old one go.
-_ENOUGH: Final = 4
-# Readings in the time below that are enough for all gateways, so that further
-# ones needn't be told.
-_ENOUGH_TOLD: Final = 8
-_RECENT_MS: Final = 2000
+# Samples stored of one engine. Enough that a slowdown of half a second is a
+# small share of them, few enough that an engine that became slow is detected
+# after a dozen samples.
+_MAX_SAMPLES: Final = 16
+# Quantile of the samples that is the engine's rate.
+_RATE_QUANTILE: Final = 0.9
+# Age at which a sample is dropped once there are newer samples.
+_MAX_AGE_MS: Final = 10_000
+# Number of newer samples that are needed to drop an old one.
+_MIN_SAMPLES: Final = 4
+# Number of samples within the time below that suffices for all gateways, so
+# that further samples needn't be reported.
+_MIN_RECENT_SAMPLES: Final = 8
+_RECENT_WINDOW_MS: Final = 2000
 
 
 @final
 class ReadingWindow:
-    """How fast one engine read lately."""
+    """The recent prefill rate of one engine."""
 
-    __slots__ = ('_rate', '_readings')
+    __slots__ = ('_rate', '_samples')
 
     def __init__(self) -> None:
-        """Start without a reading."""
-        # Tokens a millisecond and the reading of the clock of each.
-        self._readings: collections.deque[tuple[float, int]] = (
-            collections.deque(maxlen=_KEPT)
+        """Create an empty window."""
+        # Tokens per millisecond and the clock time of each sample.
+        self._samples: collections.deque[tuple[float, int]] = collections.deque(
+            maxlen=_MAX_SAMPLES
         )
         self._rate: float | None = None
 
     @property
     def rate(self) -> float | None:
-        """Tokens that the engine reads in a millisecond, None if unseen."""
+        """Tokens that the engine prefills per millisecond, None if unknown."""
         return self._rate
 
     def needs_more(self, now_ms: int) -> bool:
-        """Tell whether other gateways should hear of another reading.
+        """Check if another sample should be reported to other gateways.
 
-        :param now_ms: the time.
-        :returns: whether too few are recent.
+        :param now_ms: the current time in milliseconds.
+        :returns: whether too few samples are recent.
         """
         recent = sum(
-            now_ms - seen_ms < _RECENT_MS for _rate, seen_ms in self._readings
+            now_ms - sampled_ms < _RECENT_WINDOW_MS
+            for _rate, sampled_ms in self._samples
         )
-        return recent < _ENOUGH_TOLD
+        return recent < _MIN_RECENT_SAMPLES
 
     def is_old(self, now_ms: int) -> bool:
-        """Tell whether the engine has not been seen for long.
+        """Check if the engine has no recent samples.
 
-        :param now_ms: the time.
-        :returns: whether all readings are old.
+        :param now_ms: the current time in milliseconds.
+        :returns: whether all samples are beyond the maximum age.
         """
-        if not self._readings:
+        if not self._samples:
             return True
-        return now_ms - self._readings[-1][1] > _OLD_MS
+        return now_ms - self._samples[-1][1] > _MAX_AGE_MS
 
     def note(self, tokens_per_ms: float, now_ms: int) -> None:
-        """Add a reading.
+        """Record a sample.
 
-        :param tokens_per_ms: how fast the engine read.
-        :param now_ms: the time.
+        :param tokens_per_ms: the prefill rate in tokens per millisecond.
+        :param now_ms: the current time in milliseconds.
         """
-        self._readings.append((tokens_per_ms, now_ms))
-        while len(self._readings) > _ENOUGH:
-            if now_ms - self._readings[0][1] <= _OLD_MS:
+        self._samples.append((tokens_per_ms, now_ms))
+        while len(self._samples) > _MIN_SAMPLES:
+            if now_ms - self._samples[0][1] <= _MAX_AGE_MS:
                 break
-            self._readings.popleft()
+            self._samples.popleft()
         self._rate = quantile(
-            (rate for rate, _seen_ms in self._readings), _RATE_PART
+            (rate for rate, _sampled_ms in self._samples), _RATE_QUANTILE
         )
 
     def note_belief(self, tokens_per_ms: float, now_ms: int) -> None:
-        """Take the rate that another gateway has worked out.
+        """Record the rate that another gateway has estimated.
 
-        It stands for its readings where this gateway has none; beside readings
-        it would count them twice.
+        The rate represents that gateway's samples while this gateway has none;
+        beside samples it would count them twice.
 
-        :param tokens_per_ms: the rate.
-        :param now_ms: the time.
+        :param tokens_per_ms: the estimated rate in tokens per millisecond.
+        :param now_ms: the current time in milliseconds.
         """
-        if not self._readings:
+        if not self._samples:
             self.note(tokens_per_ms, now_ms)
