--- a/tests/test_full_gaps.py
+++ b/tests/test_full_gaps.py
@@ -1,4 +1,4 @@
-"""What gateways know of gaps beside reads, and tell of them."""
+"""Samples of token gaps at full load, and their reports to gateways."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def clock() -> ManualClock:
-    """Make the time."""
+    """Create a manual clock."""
     return ManualClock(start_ms=1000)
 
 
@@ -45,17 +45,17 @@
     gaps = FullGaps(clock=clock, tells=True)
     for _stream in range(20):
         gaps.find('e').note(90)
-    told = gaps.take_untold()
-    assert told == [['e', 90, 90, 90, 90]]
+    reported = gaps.take_untold()
+    assert reported == [['e', 90, 90, 90, 90]]
     assert gaps.take_untold() == []
-    # Enough of them are recent for all gateways.
+    # The recent gaps suffice for all gateways.
     gaps.find('e').note(90)
     assert gaps.take_untold() == []
-    heard = FullGaps(clock=clock, tells=True)
-    for name, *gaps_ms in told:
-        heard.take_told(name, gaps_ms)
-    assert heard.find('e').gaps_ms == [90, 90, 90, 90]
-    assert heard.take_untold() == []
+    receiver = FullGaps(clock=clock, tells=True)
+    for name, *gaps_ms in reported:
+        receiver.take_told(name, gaps_ms)
+    assert receiver.find('e').gaps_ms == [90, 90, 90, 90]
+    assert receiver.take_untold() == []
 
 
 def test_gateway_that_starts_is_told_enough(clock: ManualClock):
@@ -84,14 +84,14 @@
 
 
 @pytest.mark.parametrize(
-    ('gap_ms', 'reading', 'kept'),
+    ('gap_ms', 'prefill_tokens', 'is_stored'),
     [(100, 40_000, True), (100, 8000, False), (40, 40_000, False)],
-    ids=['beside reads', 'reads may have ended', 'as long as alone'],
+    ids=['during prefill', 'prefill may have ended', 'as long as idle gap'],
 )
 def test_gap_counts_if_reads_filled_it(
-    clock: ManualClock, gap_ms: int, reading: int, *, kept: bool
+    clock: ManualClock, gap_ms: int, prefill_tokens: int, *, is_stored: bool
 ):
     window = FullGaps(clock=clock).find('e')
     speed = EngineSpeed(tokens_per_ms=80, full_gaps=window)
-    speed.note_longest_gap(gap_ms, reading)
-    assert bool(window.gaps_ms) == kept
+    speed.note_longest_gap(gap_ms, prefill_tokens)
+    assert bool(window.gaps_ms) == is_stored
--- a/wingfall/gateway/knowledge/full_gaps.py
+++ b/wingfall/gateway/knowledge/full_gaps.py
@@ -1,10 +1,10 @@
-"""How long the token gaps of each engine's streams are while it reads.
+"""Token gaps of each engine's streams at full load.
 
-Answers engines of unlike speed whose rates are hard to tell under load: what
-waits there is known too late, but each stream beside reads shows what the
-engine gets through between two events. Owns the longest gaps of the last
-streams of each engine, seen here or told by other gateways, and those that they
-have not heard of.
+Prefill rates of engines of different speed are hard to measure under load,
+since pending tokens are known too late; but each stream during prefill shows
+how much work the engine completes between two events. Stores the longest gaps
+of the last streams of each engine, measured here or reported by other gateways,
+and the gaps not yet reported.
 """
 
 from __future__ import annotations
@@ -19,110 +19,114 @@
 
     from wingfall.clock import Clock
 
-# Gaps of one engine that are kept: in a slow spell of half a second a fifth of
-# them are new.
-_KEPT: Final = 32
-# Milliseconds after which a gap goes once there are newer ones.
-_OLD_MS: Final = 10_000
-# Gaps that are enough to tell an engine's speed, and to let an old one go.
-_ENOUGH: Final = 6
-# The gap that tells the speed, as a part of all in ascending order. A stream of
-# some seconds has its longest gap in a slow spell more often than not, when
-# these are many; a third of the streams are spared.
-_TYPICAL_PART: Final = 0.3
-# Gaps in the time below that are enough for all gateways, so that further ones
-# needn't be told; and how many of one engine a heartbeat tells at most.
-_ENOUGH_TOLD: Final = 8
-_RECENT_MS: Final = 2000
-_MOST_TOLD: Final = 4
+# Gaps stored of one engine: a slowdown of half a second replaces a fifth of
+# them.
+_MAX_SAMPLES: Final = 32
+# Age at which a gap is dropped once there are newer gaps.
+_MAX_AGE_MS: Final = 10_000
+# Number of gaps needed to estimate an engine's speed, and to drop an old gap.
+_MIN_SAMPLES: Final = 6
+# Quantile of the gaps that represents the engine's speed. If slowdowns are
+# frequent, more than half of the streams of some seconds have their longest gap
+# in a slowdown; a third of the streams are not affected.
+_TYPICAL_QUANTILE: Final = 0.3
+# Number of gaps within the time below that suffices for all gateways, so that
+# further gaps needn't be reported; and the most gaps of one engine in a
+# heartbeat.
+_MIN_RECENT_SAMPLES: Final = 8
+_RECENT_WINDOW_MS: Final = 2000
+_MAX_SAMPLES_PER_REPORT: Final = 4
 
 
 @final
 class GapWindow:
-    """The longest gaps of an engine's last streams beside reads."""
+    """The longest gaps of an engine's last streams during prefill."""
 
-    __slots__ = ('_clock', '_seen', '_untold')
+    __slots__ = ('_clock', '_samples', '_unreported')
 
     def __init__(self, *, clock: Clock) -> None:
-        """Start without a gap.
+        """Create an empty window.
 
-        :param clock: the time, by which gaps age.
+        :param clock: the clock by which gaps age.
         """
         self._clock = clock
-        # Milliseconds of each gap, and the reading of the clock.
-        self._seen: collections.deque[tuple[int, int]] = collections.deque(
-            maxlen=_KEPT
+        # Milliseconds of each gap, and the clock time of its recording.
+        self._samples: collections.deque[tuple[int, int]] = collections.deque(
+            maxlen=_MAX_SAMPLES
         )
-        self._untold: collections.deque[int] = collections.deque(
-            maxlen=_MOST_TOLD
+        self._unreported: collections.deque[int] = collections.deque(
+            maxlen=_MAX_SAMPLES_PER_REPORT
         )
 
     @property
     def gaps_ms(self) -> Sequence[int]:
-        """All gaps that are kept."""
-        return [gap_ms for gap_ms, _seen_ms in self._seen]
+        """All stored gaps in milliseconds, the oldest first."""
+        return [gap_ms for gap_ms, _sampled_ms in self._samples]
 
     @property
     def typical_ms(self) -> float | None:
-        """What tells the engine's speed, None if too few were seen."""
-        if len(self._seen) < _ENOUGH:
+        """Gap that represents the engine's speed, None if too few are known."""
+        if len(self._samples) < _MIN_SAMPLES:
             return None
-        return quantile(self.gaps_ms, _TYPICAL_PART)
+        return quantile(self.gaps_ms, _TYPICAL_QUANTILE)
 
     def note(self, gap_ms: int) -> None:
-        """Add a gap that was seen here.
+        """Record a gap that this gateway measured.
 
-        :param gap_ms: the longest of a stream, beside reads that never ended.
+        :param gap_ms: longest gap of a stream during uninterrupted prefill, in
+            milliseconds.
         """
-        since_ms = self._clock.now_ms() - _RECENT_MS
-        recent = sum(seen_ms > since_ms for _gap_ms, seen_ms in self._seen)
-        if recent < _ENOUGH_TOLD:
-            self._untold.append(gap_ms)
+        since_ms = self._clock.now_ms() - _RECENT_WINDOW_MS
+        recent = sum(
+            sampled_ms > since_ms for _gap_ms, sampled_ms in self._samples
+        )
+        if recent < _MIN_RECENT_SAMPLES:
+            self._unreported.append(gap_ms)
         self.add(gap_ms)
 
     def add(self, gap_ms: int) -> None:
         """Add a gap.
 
-        :param gap_ms: its milliseconds.
+        :param gap_ms: the gap in milliseconds.
         """
         now_ms = self._clock.now_ms()
-        self._seen.append((gap_ms, now_ms))
-        while len(self._seen) > _ENOUGH:
-            if now_ms - self._seen[0][1] <= _OLD_MS:
+        self._samples.append((gap_ms, now_ms))
+        while len(self._samples) > _MIN_SAMPLES:
+            if now_ms - self._samples[0][1] <= _MAX_AGE_MS:
                 break
-            self._seen.popleft()
+            self._samples.popleft()
 
     def take_untold(self) -> list[int]:
-        """Take the gaps that other gateways have not heard of.
+        """Return and clear the gaps not yet reported to other gateways.
 
-        :returns: their milliseconds.
+        :returns: the gaps in milliseconds.
         """
-        untold = list(self._untold)
-        self._untold.clear()
-        return untold
+        unreported = list(self._unreported)
+        self._unreported.clear()
+        return unreported
 
 
 @final
 class FullGaps:
-    """The gaps of all engines."""
+    """The token gaps at full load of all engines."""
 
-    __slots__ = ('_clock', '_tells', '_windows')
+    __slots__ = ('_clock', '_reports_gaps', '_windows')
 
     def __init__(self, *, clock: Clock, tells: bool = False) -> None:
-        """Start without a gap.
+        """Initialize the gaps as empty.
 
-        :param clock: the time, by which gaps age.
-        :param tells: whether other gateways are told of gaps.
+        :param clock: the clock by which gaps age.
+        :param tells: whether gaps are reported to other gateways.
         """
         self._clock = clock
-        self._tells = tells
+        self._reports_gaps = tells
         self._windows: dict[str, GapWindow] = {}
 
     def find(self, engine: str) -> GapWindow:
-        """Give the gaps of an engine.
+        """Return the gaps of an engine.
 
-        :param engine: its name.
-        :returns: its gaps, which follow later ones.
+        :param engine: name of the engine.
+        :returns: its window, which also receives later gaps.
         """
         window = self._windows.get(engine)
         if window is None:
@@ -131,46 +135,46 @@
         return window
 
     def take_told(self, engine: str, gaps_ms: list[int]) -> None:
-        """Add gaps that another gateway has seen.
+        """Merge gaps that another gateway reported.
 
-        :param engine: the engine.
-        :param gaps_ms: their milliseconds, the newest last.
+        :param engine: name of the engine.
+        :param gaps_ms: the gaps in milliseconds, the newest last.
         """
         for gap_ms in gaps_ms:
             self.find(engine).add(gap_ms)
 
     def take_untold(self) -> list[list[Any]]:
-        """Take the gaps that other gateways have not heard of.
+        """Return and clear the gaps not yet reported to other gateways.
 
-        :returns: for each engine its name and milliseconds; nothing if other
-            gateways are not told.
+        :returns: for each engine its name and gaps in milliseconds; empty if
+            gaps are not reported.
         """
-        if not self._tells:
+        if not self._reports_gaps:
             return []
-        untold = [
+        unreported = [
             [engine, *window.take_untold()]
             for engine, window in self._windows.items()
         ]
-        return [entry for entry in untold if len(entry) > 1]
+        return [entry for entry in unreported if len(entry) > 1]
 
     def write_all(self) -> list[list[Any]]:
-        """Write the newest gaps of all engines, for a gateway that starts.
+        """Encode the newest gaps of all engines for a gateway that starts.
 
-        :returns: for each engine its name and milliseconds, as they are told;
-            nothing if other gateways are not told.
+        :returns: for each engine its name and gaps in milliseconds, as in a
+            report; empty if gaps are not reported.
         """
-        if not self._tells:
+        if not self._reports_gaps:
             return []
         return [
-            [engine, *window.gaps_ms[-_ENOUGH:]]
+            [engine, *window.gaps_ms[-_MIN_SAMPLES:]]
             for engine, window in self._windows.items()
             if window.gaps_ms
         ]
 
     def keep_only(self, names: set[str]) -> None:
-        """Forget engines that are not listed any more.
+        """Remove engines that are no longer listed.
 
-        :param names: the engines that are listed.
+        :param names: names of the listed engines.
         """
         for name in self._windows.keys() - names:
             self._windows.pop(name)
