--- a/tests/test_last_event.py
+++ b/tests/test_last_event.py
@@ -1,4 +1,4 @@
-"""Estimates of the last event of an answer."""
+"""Estimates of the time of the last event of an answer."""
 
 from __future__ import annotations
 
@@ -12,44 +12,44 @@
 FULL_MS = 120
 
 
-def seen() -> EngineSpeed:
-    """Make an engine that reads 40 tokens a ms, with gaps of 30 to 120 ms."""
+def engine() -> EngineSpeed:
+    """Create an engine of 40 prefill tokens per ms and gaps of 30 or 120 ms."""
     speed = EngineSpeed(tokens_per_ms=40)
     speed.note_longest_gap(FULL_MS, 50_000)
     return speed
 
 
-def last_ms(speed: EngineSpeed, reading: int, output: int = 80) -> float:
-    """Estimate the last event of an answer in events of four tokens."""
+def last_ms(speed: EngineSpeed, pending: int, output: int = 80) -> float:
+    """Estimate the last event of an answer with four tokens per event."""
     return last_event_ms(
         first_ms=FIRST_MS,
         output_tokens=output,
         event_tokens=4,
-        reading_tokens=reading,
+        reading_tokens=pending,
         speed=speed,
     )
 
 
 def test_events_follow_each_other_without_reads():
     # Twenty events have nineteen gaps.
-    assert last_ms(seen(), reading=0) == FIRST_MS + 19 * IDLE_MS
+    assert last_ms(engine(), pending=0) == FIRST_MS + 19 * IDLE_MS
 
 
 @pytest.mark.parametrize('output', [0, 1, 4])
 def test_answer_of_one_event_ends_with_its_first(output: int):
-    assert last_ms(seen(), reading=50_000, output=output) == FIRST_MS
+    assert last_ms(engine(), pending=50_000, output=output) == FIRST_MS
 
 
 def test_reads_hold_up_events_for_as_long_as_they_take():
-    # 240 ms of reading hold up two of the gaps.
-    held_up = FIRST_MS + 2 * FULL_MS + 17 * IDLE_MS
-    assert last_ms(seen(), reading=9600) == pytest.approx(held_up)
+    # A prefill of 240 ms delays two of the gaps.
+    delayed_ms = FIRST_MS + 2 * FULL_MS + 17 * IDLE_MS
+    assert last_ms(engine(), pending=9600) == pytest.approx(delayed_ms)
 
 
 def test_reads_hold_up_no_more_than_all_events():
-    assert last_ms(seen(), reading=10**6) == FIRST_MS + 19 * FULL_MS
+    assert last_ms(engine(), pending=10**6) == FIRST_MS + 19 * FULL_MS
 
 
 def test_engine_without_a_long_gap_is_taken_to_have_none():
     speed = EngineSpeed(tokens_per_ms=40)
-    assert last_ms(speed, reading=9600) == FIRST_MS + 19 * IDLE_MS
+    assert last_ms(speed, pending=9600) == FIRST_MS + 19 * IDLE_MS
--- a/tests/test_long_reads.py
+++ b/tests/test_long_reads.py
@@ -1,4 +1,4 @@
-"""What engines were sent to read lately."""
+"""Decaying sums of long prefills sent to engines."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 def test_reads_fade(clock: ManualClock):
-    reads = LongReads(clock=clock)
-    reads.note('busy', 3000)
-    reads.note('busy', 1000)
-    assert reads.tokens('busy') == pytest.approx(4000)
-    assert reads.tokens('idle') == pytest.approx(0)
+    prefills = LongReads(clock=clock)
+    prefills.note('busy', 3000)
+    prefills.note('busy', 1000)
+    assert prefills.tokens('busy') == pytest.approx(4000)
+    assert prefills.tokens('idle') == pytest.approx(0)
     clock.advance(1000)
-    assert reads.tokens('busy') == pytest.approx(2000)
+    assert prefills.tokens('busy') == pytest.approx(2000)
 
 
 def test_engines_that_left_are_forgotten(clock: ManualClock):
-    reads = LongReads(clock=clock)
-    reads.note('gone', 3000)
-    reads.keep_only({'other'})
-    assert reads.tokens('gone') == pytest.approx(0)
+    prefills = LongReads(clock=clock)
+    prefills.note('gone', 3000)
+    prefills.keep_only({'other'})
+    assert prefills.tokens('gone') == pytest.approx(0)
--- a/wingfall/gateway/knowledge/decaying_sum.py
+++ b/wingfall/gateway/knowledge/decaying_sum.py
@@ -1,4 +1,4 @@
-"""A sum that forgets: each entry counts half after a half-life."""
+"""A sum whose entries decay exponentially with a half-life."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 
 @final
 class DecayingSum:
-    """A sum in which each entry is halved again and again."""
+    """An exponentially decaying sum."""
 
-    __slots__ = ('_at_ms', '_half_life_ms', '_sum')
+    __slots__ = ('_as_of_ms', '_half_life_ms', '_sum')
 
     def __init__(self, *, half_life_ms: int) -> None:
-        """Start at zero.
+        """Create a sum of zero.
 
-        :param half_life_ms: time after which an entry counts half.
+        :param half_life_ms: milliseconds after which an entry counts half.
         """
         self._half_life_ms = half_life_ms
         self._sum: float = 0
-        self._at_ms = 0
+        self._as_of_ms = 0
 
     def at(self, now_ms: int) -> float:
-        """Read the sum.
+        """Return the decayed sum at a time.
 
-        :param now_ms: the time.
-        :returns: what is left of all entries.
+        :param now_ms: the time in milliseconds.
+        :returns: the sum of all entries after their decay.
         """
-        return self._sum * 2 ** ((self._at_ms - now_ms) / self._half_life_ms)
+        return self._sum * 2 ** ((self._as_of_ms - now_ms) / self._half_life_ms)
 
     def add(self, amount: float, now_ms: int) -> None:
         """Add an entry.
 
-        :param amount: its size.
-        :param now_ms: the time.
+        :param amount: value of the entry.
+        :param now_ms: the time in milliseconds.
         """
         self._sum = self.at(now_ms) + amount
-        self._at_ms = now_ms
+        self._as_of_ms = now_ms
--- a/wingfall/gateway/knowledge/last_event.py
+++ b/wingfall/gateway/knowledge/last_event.py
@@ -1,7 +1,7 @@
-"""When the last event of a prompt's answer comes.
+"""Estimate of the time of the last event of an answer.
 
-Answers prompts whose callers need the whole answer: a first event in time tells
-little of them where long reads of others hold up the events that follow.
+Serves prompts whose callers need the whole answer: the time of the first event
+says little if long prefills of other prompts delay the events that follow.
 """
 
 from __future__ import annotations
@@ -21,21 +21,22 @@
     reading_tokens: int,
     speed: EngineSpeed,
 ) -> float:
-    """Estimate when the last event of an answer comes.
+    """Estimate the time of the last event of an answer.
 
-    While the engine reads other prompts its events come as far apart as they
-    have been seen to beside long reads, and then as they do without. What runs
-    there besides is part of both gaps, as they were learned beside it.
+    While the engine prefills other prompts, events are separated by the token
+    gap at full load, and afterwards by the idle gap. Both gaps include the load
+    of other running streams, since they are measured under it.
 
     :param first_ms: milliseconds to the first event.
     :param output_tokens: tokens of the answer.
     :param event_tokens: tokens in an event of the pool's streams, at least 1.
-    :param reading_tokens: what is to be read there after the first event.
-    :param speed: how fast the engine reads and how long its gaps are.
+    :param reading_tokens: pending prefill tokens of the engine after the first
+        event.
+    :param speed: prefill rate and token gaps of the engine.
     :returns: milliseconds to the last event.
     """
     gaps = max(0, math.ceil(output_tokens / event_tokens) - 1)
     idle_ms = speed.idle_gap_ms
     full_ms = max(idle_ms, speed.full_gap_ms or 0)
-    held_up = min(gaps, speed.read_ms(reading_tokens) / full_ms)
-    return first_ms + held_up * full_ms + (gaps - held_up) * idle_ms
+    delayed_gaps = min(gaps, speed.read_ms(reading_tokens) / full_ms)
+    return first_ms + delayed_gaps * full_ms + (gaps - delayed_gaps) * idle_ms
--- a/wingfall/gateway/knowledge/long_reads.py
+++ b/wingfall/gateway/knowledge/long_reads.py
@@ -1,6 +1,7 @@
-"""How many tokens of long prompts engines were sent lately.
+"""Tokens of long prompts that were recently sent to each engine.
 
-Owns one fading sum an engine; both own prompts and those that peers tell count.
+Stores one decaying sum per engine of the prompts of this gateway and of those
+that peers report.
 """
 
 from __future__ import annotations
@@ -12,53 +13,53 @@
 if TYPE_CHECKING:
     from wingfall.clock import Clock
 
-# Reads up to this length fit between the tokens of running streams: about the
-# piece of a prompt that an engine reads at once.
+# Prefills up to this length fit between the tokens of running streams: about
+# the chunk of a prompt that an engine prefills at once.
 SHORT_READ_TOKENS: Final = 1024
-# Long enough that an engine which reads some long prompts a second is told
-# apart from one that reads none, short enough to follow a burst.
+# Long enough to distinguish an engine that prefills some long prompts a second
+# from an engine without long prompts, short enough to follow a burst.
 _HALF_LIFE_MS: Final = 1000
 
 
 @final
 class LongReads:
-    """Tokens of long reads that were sent to each engine, fading."""
+    """Decaying sums of the long prefill tokens sent to each engine."""
 
     __slots__ = ('_clock', '_sums')
 
     def __init__(self, *, clock: Clock) -> None:
-        """Start without a read.
+        """Initialize the sums as empty.
 
-        :param clock: the time, by which past reads fade.
+        :param clock: the clock by which past prefills decay.
         """
         self._clock = clock
         self._sums: dict[str, DecayingSum] = {}
 
     def note(self, engine: str, tokens: float) -> None:
-        """Count a read that was sent.
+        """Record a long prefill that was sent to an engine.
 
-        :param engine: the engine.
-        :param tokens: its length.
+        :param engine: name of the engine.
+        :param tokens: length of the prefill in tokens.
         """
-        known = self._sums.get(engine)
-        if known is None:
-            known = DecayingSum(half_life_ms=_HALF_LIFE_MS)
-            self._sums[engine] = known
-        known.add(tokens, self._clock.now_ms())
+        engine_sum = self._sums.get(engine)
+        if engine_sum is None:
+            engine_sum = DecayingSum(half_life_ms=_HALF_LIFE_MS)
+            self._sums[engine] = engine_sum
+        engine_sum.add(tokens, self._clock.now_ms())
 
     def tokens(self, engine: str) -> float:
-        """Tell how much an engine was sent.
+        """Return the decayed sum of tokens sent to an engine.
 
-        :param engine: the engine.
-        :returns: tokens, those of a second ago counted half.
+        :param engine: name of the engine.
+        :returns: number of tokens, those of a second ago counted half.
         """
-        known = self._sums.get(engine)
-        return known.at(self._clock.now_ms()) if known else 0
+        engine_sum = self._sums.get(engine)
+        return engine_sum.at(self._clock.now_ms()) if engine_sum else 0
 
     def keep_only(self, names: set[str]) -> None:
-        """Forget engines that are not listed any more.
+        """Remove engines that are no longer listed.
 
-        :param names: the engines that are listed.
+        :param names: names of the listed engines.
         """
         for name in self._sums.keys() - names:
             self._sums.pop(name)
