--- a/wingfall/gateway/knowledge/engine_speeds.py
+++ b/wingfall/gateway/knowledge/engine_speeds.py
@@ -30,7 +30,7 @@
         """Return the rate of an engine."""
 
     def look(self, engine: str, pool: str) -> Rate:
-        """Return the rate of an engine, or of its pool, without adding it."""
+        """Return the rate of an engine, or of its pool if it is unknown."""
 
     def of_pool(self, pool: str) -> Rate:
         """Return the overall rate of a pool's engines."""
