--- a/tests/test_shared_rates.py
+++ b/tests/test_shared_rates.py
@@ -1,4 +1,4 @@
-"""Rates of engines that all gateways learn together."""
+"""Prefill rates of engines that gateways share."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 from wingfall.gateway.peers.loads.load_entries import Activity, note_activity
 
 POOL = 'pool'
-LONG = 6000
-SHORT = 600
+LONG_TOKENS = 6000
+SHORT_TOKENS = 600
 FAST_MS = 100
 SLOW_MS = 300
-# Long after its last reading an engine that isn't listed is forgotten.
-LONG_AFTER_MS = 11_000
+# Time after the last sample at which an unlisted engine is removed.
+EXPIRY_MS = 11_000
 
 
 @pytest.fixture
 def rates(manual_clock: ManualClock) -> SharedRates:
-    """Give rates without a reading."""
+    """Return rates without samples."""
     return SharedRates(clock=manual_clock)
 
 
 @pytest.fixture
 def manual_clock() -> ManualClock:
-    """Give the time."""
+    """Return a clock that the test advances."""
     return ManualClock(start_ms=1000)
 
 
 def rate_of(rates: SharedRates | OwnRates, engine: str) -> float:
-    """Tell what is believed of an engine."""
+    """Return the estimated rate of an engine."""
     return rates.find(engine, POOL).tokens_per_ms
 
 
 def test_engines_have_rates_of_their_own(rates: SharedRates):
-    rates.note('fast', POOL, LONG, FAST_MS)
-    rates.note('slow', POOL, LONG, SLOW_MS)
+    rates.note('fast', POOL, LONG_TOKENS, FAST_MS)
+    rates.note('slow', POOL, LONG_TOKENS, SLOW_MS)
     assert rate_of(rates, 'fast') == 60
     assert rate_of(rates, 'slow') == 20
 
@@ -47,7 +47,7 @@
 def test_unseen_engine_has_the_median_of_its_pool(rates: SharedRates):
     assert rate_of(rates, 'new') == FIRST_RATE
     for engine, elapsed_ms in (('a', 100), ('b', 120), ('c', 300)):
-        rates.note(engine, POOL, LONG, elapsed_ms)
+        rates.note(engine, POOL, LONG_TOKENS, elapsed_ms)
     assert rate_of(rates, 'new') == 50
     assert rates.of_pool(POOL).tokens_per_ms == 50
     assert rates.find('other', 'other pool').tokens_per_ms == FIRST_RATE
@@ -57,45 +57,49 @@
     rates: SharedRates,
 ):
     speeds = EngineSpeeds(rates=rates)
-    for _read in range(4):
+    for _sample in range(4):
         speeds.note_start('e', POOL, 0, 50)
-    # Nearly all that waited had been read as the prompt came.
-    speeds.note_start('e', POOL, 2 * LONG, FAST_MS + 52, waiting=LONG)
+    # Nearly all pending tokens had their prefill when the prompt arrived.
+    speeds.note_start(
+        'e', POOL, 2 * LONG_TOKENS, FAST_MS + 52, waiting=LONG_TOKENS
+    )
     assert rate_of(rates, 'e') == pytest.approx(60, rel=0.05)
-    speeds.note_start('f', POOL, LONG + SHORT, FAST_MS + 50, waiting=LONG)
+    speeds.note_start(
+        'f', POOL, LONG_TOKENS + SHORT_TOKENS, FAST_MS + 50, waiting=LONG_TOKENS
+    )
     assert not rates.find('f', POOL).window.rate
 
 
 def test_prompt_behind_much_else_tells_only_that_an_engine_is_faster(
     rates: SharedRates,
 ):
-    rates.note('e', POOL, LONG, SLOW_MS)
-    rates.note('e', POOL, 3 * LONG, 5 * SLOW_MS, waiting=2 * LONG)
+    rates.note('e', POOL, LONG_TOKENS, SLOW_MS)
+    rates.note('e', POOL, 3 * LONG_TOKENS, 5 * SLOW_MS, waiting=2 * LONG_TOKENS)
     assert rate_of(rates, 'e') == 20
-    # One such reading may be of a part that was cached after all.
-    rates.note('e', POOL, 3 * LONG, FAST_MS, waiting=2 * LONG)
+    # A single such sample may stem from an unexpectedly cached part.
+    rates.note('e', POOL, 3 * LONG_TOKENS, FAST_MS, waiting=2 * LONG_TOKENS)
     assert rate_of(rates, 'e') == 20
-    rates.note('e', POOL, 3 * LONG, FAST_MS, waiting=2 * LONG)
+    rates.note('e', POOL, 3 * LONG_TOKENS, FAST_MS, waiting=2 * LONG_TOKENS)
     assert rate_of(rates, 'e') == 60
 
 
 def test_gateway_that_learns_alone_passes_over_prompts_behind_much_else():
     rates = OwnRates()
-    rates.note('e', POOL, 3 * LONG, FAST_MS, waiting=2 * LONG)
+    rates.note('e', POOL, 3 * LONG_TOKENS, FAST_MS, waiting=2 * LONG_TOKENS)
     assert rate_of(rates, 'e') == FIRST_RATE
-    rates.note('e', POOL, 2 * LONG, FAST_MS, waiting=LONG)
+    rates.note('e', POOL, 2 * LONG_TOKENS, FAST_MS, waiting=LONG_TOKENS)
     assert rate_of(rates, 'e') > FIRST_RATE
 
 
 def test_short_reads_and_reads_without_time_do_not_count(rates: SharedRates):
-    rates.note('e', POOL, SHORT, 1)
-    rates.note('e', POOL, LONG, 0)
+    rates.note('e', POOL, SHORT_TOKENS, 1)
+    rates.note('e', POOL, LONG_TOKENS, 0)
     assert rate_of(rates, 'e') == FIRST_RATE
     assert not rates.take_untold()
 
 
 def test_absurd_readings_are_bounded(rates: SharedRates):
-    rates.note('e', POOL, LONG, 0.1)
+    rates.note('e', POOL, LONG_TOKENS, 0.1)
     rates.take_told('e', POOL, [10**9])
     assert rate_of(rates, 'e') == MAX_RATE
 
@@ -104,21 +108,21 @@
     rates: SharedRates, manual_clock: ManualClock
 ):
     other = SharedRates(clock=manual_clock)
-    rates.note('e', POOL, LONG, FAST_MS)
-    for engine, *told in rates.take_untold():
-        other.take_told(engine, POOL, told)
+    rates.note('e', POOL, LONG_TOKENS, FAST_MS)
+    for engine, *reported in rates.take_untold():
+        other.take_told(engine, POOL, reported)
     assert rate_of(other, 'e') == rate_of(rates, 'e')
-    # What was told is neither told again nor told on.
+    # Reported samples are neither resent nor relayed.
     assert not rates.take_untold()
     assert not other.take_untold()
 
 
 def test_few_readings_are_told_at_once(rates: SharedRates):
-    for _read in range(30):
-        rates.note('e', POOL, LONG, FAST_MS)
-    ((_engine, *told),) = rates.take_untold()
-    assert len(told) == 4
-    rates.note('e', POOL, LONG, FAST_MS)
+    for _sample in range(30):
+        rates.note('e', POOL, LONG_TOKENS, FAST_MS)
+    ((_engine, *reported),) = rates.take_untold()
+    assert len(reported) == 4
+    rates.note('e', POOL, LONG_TOKENS, FAST_MS)
     assert not rates.take_untold()
 
 
@@ -126,15 +130,15 @@
     rates: SharedRates, manual_clock: ManualClock
 ):
     new = SharedRates(clock=manual_clock)
-    rates.note('e', POOL, LONG, FAST_MS)
-    rates.note('e', POOL, LONG, FAST_MS)
-    greeting = rates.write_all()
-    for engine, *told in greeting * 60:
-        new.take_told(engine, POOL, told)
+    rates.note('e', POOL, LONG_TOKENS, FAST_MS)
+    rates.note('e', POOL, LONG_TOKENS, FAST_MS)
+    encoded = rates.write_all()
+    for engine, *reported in encoded * 60:
+        new.take_told(engine, POOL, reported)
     assert rate_of(new, 'e') == 60
-    # A belief is one reading of many, however many told it.
-    for _read in range(5):
-        new.note('e', POOL, LONG, SLOW_MS)
+    # An estimated rate counts as one sample, however many gateways send it.
+    for _sample in range(5):
+        new.note('e', POOL, LONG_TOKENS, SLOW_MS)
     assert rate_of(new, 'e') == 20
 
 
@@ -142,20 +146,20 @@
     rates: SharedRates, manual_clock: ManualClock
 ):
     other = SharedRates(clock=manual_clock)
-    other.note('e', POOL, LONG, SLOW_MS)
-    for _read in range(16):
-        rates.note('e', POOL, LONG, FAST_MS)
-    for engine, *told in other.write_all() * 60:
-        rates.take_told(engine, POOL, told)
+    other.note('e', POOL, LONG_TOKENS, SLOW_MS)
+    for _sample in range(16):
+        rates.note('e', POOL, LONG_TOKENS, FAST_MS)
+    for engine, *reported in other.write_all() * 60:
+        rates.take_told(engine, POOL, reported)
     assert rate_of(rates, 'e') == 60
 
 
 def test_greeting_before_the_list_of_engines_is_kept(rates: SharedRates):
     speeds = EngineSpeeds(rates=rates)
-    early = speeds.find('e', '').rate
+    rate_before_listing = speeds.find('e', '').rate
     rates.take_told('e', '', [-600])
     speeds.keep_only(set())
-    assert early.tokens_per_ms == 60
+    assert rate_before_listing.tokens_per_ms == 60
     assert speeds.find('e', POOL).rate.tokens_per_ms == 60
     assert speeds.average(POOL).tokens_per_ms == 60
 
@@ -164,8 +168,8 @@
     rates: SharedRates, manual_clock: ManualClock
 ):
     knowledge = EndpointKnowledge(clock=manual_clock, rates=rates)
-    told = Activity(readings=[['e', -600], ['f', 200, 210]])
-    note_activity(told, knowledge)
+    reported = Activity(readings=[['e', -600], ['f', 200, 210]])
+    note_activity(reported, knowledge)
     knowledge.forget_departed()
     assert rate_of(rates, 'e') == 60
     assert rate_of(rates, 'f') == 20
@@ -175,27 +179,27 @@
     rates: SharedRates,
 ):
     speeds = EngineSpeeds(rates=rates)
-    early = speeds.find('e', '')
-    speeds.note_start('e', POOL, LONG, 130)
-    assert early.rate.tokens_per_ms == 60
+    rate_before_listing = speeds.find('e', '')
+    speeds.note_start('e', POOL, LONG_TOKENS, 130)
+    assert rate_before_listing.rate.tokens_per_ms == 60
 
 
 def test_engine_that_left_is_forgotten_after_a_while(
     rates: SharedRates, manual_clock: ManualClock
 ):
-    rates.note('gone', POOL, LONG, FAST_MS)
+    rates.note('gone', POOL, LONG_TOKENS, FAST_MS)
     rates.keep_only({'other'})
     assert rates.of_pool(POOL).tokens_per_ms == FIRST_RATE
     assert not rates.take_untold()
-    manual_clock.advance(LONG_AFTER_MS)
+    manual_clock.advance(EXPIRY_MS)
     rates.keep_only({'other'})
     assert not rates.write_all()
 
 
 def test_engine_that_starts_again_is_another_engine(rates: SharedRates):
-    rates.note('i-1@1', POOL, LONG, SLOW_MS)
-    rates.note('i-2@1', POOL, LONG, FAST_MS)
-    rates.note('i-3@1', POOL, LONG, FAST_MS)
+    rates.note('i-1@1', POOL, LONG_TOKENS, SLOW_MS)
+    rates.note('i-2@1', POOL, LONG_TOKENS, FAST_MS)
+    rates.note('i-3@1', POOL, LONG_TOKENS, FAST_MS)
     rates.keep_only({'i-1@2', 'i-2@1', 'i-3@1'})
     assert rate_of(rates, 'i-1@2') == 60
 
@@ -203,36 +207,36 @@
 def test_fixed_time_is_that_of_short_reads(rates: SharedRates):
     speeds = EngineSpeeds(rates=rates)
     assert rates.fixed_ms(POOL) is None
-    rates.note('e', POOL, LONG, FAST_MS)
-    # Ten ms of each are its own tokens; before the last others read.
+    rates.note('e', POOL, LONG_TOKENS, FAST_MS)
+    # Each has 10 ms of its own prefill; the last two waited for others.
     for elapsed_ms in (52, 50, 51, 54, 300, 400):
-        speeds.note_start('e', POOL, SHORT, elapsed_ms)
+        speeds.note_start('e', POOL, SHORT_TOKENS, elapsed_ms)
     assert rates.fixed_ms(POOL) == 41
     assert rates.fixed_ms('other pool') is None
 
 
 def test_fixed_time_is_no_part_of_a_reading(rates: SharedRates):
     speeds = EngineSpeeds(rates=rates)
-    for _read in range(4):
+    for _sample in range(4):
         speeds.note_start('e', POOL, 0, 50)
-    speeds.note_start('e', POOL, LONG, FAST_MS + 50)
+    speeds.note_start('e', POOL, LONG_TOKENS, FAST_MS + 50)
     assert rate_of(rates, 'e') == 60
 
 
 def test_prompt_that_was_cached_after_all_is_no_reading(rates: SharedRates):
     speeds = EngineSpeeds(rates=rates)
-    for _read in range(4):
+    for _sample in range(4):
         speeds.note_start('e', POOL, 0, 50)
-    speeds.note_start('e', POOL, LONG, 45)
+    speeds.note_start('e', POOL, LONG_TOKENS, 45)
     assert rate_of(rates, 'e') == FIRST_RATE
 
 
 def test_gateways_that_learn_alone_tell_and_take_nothing():
     rates = OwnRates()
-    rates.note('e', POOL, LONG, FAST_MS)
+    rates.note('e', POOL, LONG_TOKENS, FAST_MS)
     before = rates.find('e', POOL).tokens_per_ms
     rates.take_told('e', POOL, [600, -600])
-    rates.note_short('e', POOL, SHORT, FAST_MS)
+    rates.note_short('e', POOL, SHORT_TOKENS, FAST_MS)
     assert rates.find('e', POOL).tokens_per_ms == before
     assert rates.fixed_ms(POOL) is None
     assert not rates.take_untold()
@@ -242,7 +246,7 @@
 def test_look_at_a_rate_changes_nothing(manual_clock: ManualClock):
     for rates in (OwnRates(), SharedRates(clock=manual_clock)):
         assert rates.look('new', POOL).tokens_per_ms == FIRST_RATE
-        rates.note('e', POOL, LONG, FAST_MS)
+        rates.note('e', POOL, LONG_TOKENS, FAST_MS)
         seen = rates.find('e', POOL).tokens_per_ms
         assert rates.look('e', POOL).tokens_per_ms == seen
         assert rates.look('new', POOL).tokens_per_ms == seen
--- a/tests/test_shared_rates_site.py
+++ b/tests/test_shared_rates_site.py
@@ -1,4 +1,4 @@
-"""Gateways of a site share what they see of engines' reading."""
+"""Gateways of a site share prefill rate samples."""
 
 from __future__ import annotations
 
@@ -9,40 +9,40 @@
 from wingfall.gateway.application import GatewayApplication
 
 SHARED = {'read_rates': 'shared', 'start_estimates': 'corrected'}
-# What an engine takes for a prompt of so many tokens, in milliseconds.
-READ_MS = 150
+# Milliseconds that the engine takes for a prompt of this many tokens.
+PREFILL_MS = 150
 TOKENS = 12_000
-# Part by which rates of two gateways may differ.
-AGREED = 0.15
+# Relative difference up to which rates of two gateways agree.
+MAX_DIFFERENCE = 0.15
 
 
 def rate(gateway: GatewayApplication) -> float:
-    """Tell what a gateway believes of the engine, 0 if nothing."""
+    """Return the engine's rate at a gateway, 0 if unknown."""
     return gateway.status()['engine_rates'].get('e1', 0)
 
 
 def agree(one: GatewayApplication, other: GatewayApplication) -> bool:
-    """Tell whether two gateways believe about the same."""
+    """Check if the rates of two gateways agree."""
     rates = sorted((rate(one), rate(other)))
-    return rates[0] > 0 and rates[1] / rates[0] - 1 < AGREED
+    return rates[0] > 0 and rates[1] / rates[0] - 1 < MAX_DIFFERENCE
 
 
 def test_gateways_share_what_one_of_them_sees(gateway_site: GatewaySite):
-    gateway_site.add_server('e1', 'engines').delay_ms = READ_MS
+    gateway_site.add_server('e1', 'engines').delay_ms = PREFILL_MS
     one = gateway_site.add_gateway(policy=SHARED)
     other = gateway_site.add_gateway(policy=SHARED)
     for _prompt in range(4):
         answer = gateway_site.ask('/stream/x', X_Token_Count=f'{TOKENS},5')
         assert answer.status == 200
-    assert 0 < rate(one) <= TOKENS / (READ_MS - 30)
+    assert 0 < rate(one) <= TOKENS / (PREFILL_MS - 30)
     wait_until(lambda: agree(one, other))
-    # One that starts hears of it though it sees nothing.
+    # A gateway that starts receives the rate without samples of its own.
     new = gateway_site.add_gateway(policy=SHARED)
     wait_until(lambda: agree(one, new))
 
 
 def test_errors_of_estimates_are_shown(gateway_site: GatewaySite):
-    gateway_site.add_server('e1', 'engines').delay_ms = READ_MS
+    gateway_site.add_server('e1', 'engines').delay_ms = PREFILL_MS
     gateway = gateway_site.add_gateway(policy=SHARED)
     gateway_site.ask('/stream/x', X_Token_Count=f'{TOKENS},5')
     (error,) = gateway.status()['start_errors']
--- a/wingfall/gateway/knowledge/own_rates.py
+++ b/wingfall/gateway/knowledge/own_rates.py
@@ -1,4 +1,4 @@
-"""How fast engines read, by what this gateway alone has seen."""
+"""Prefill rates of engines, estimated from this gateway's samples."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 @final
 class OwnRates:
-    """Rates that each gateway learns by itself, as the baseline."""
+    """Rates that each gateway estimates by itself, the baseline."""
 
     __slots__ = ('_by_engine', '_by_pool')
 
     def __init__(self, *, clock: Clock | None = None) -> None:
-        """Start without a reading.
+        """Create rates without samples.
 
-        :param clock: not needed, averages do not age.
+        :param clock: unused, since averages do not age.
         """
         self._by_engine: dict[str, ReadRate] = {}
         self._by_pool: dict[str, ReadRate] = {}
 
     def find(self, engine: str, pool: str) -> ReadRate:
-        """Give the rate of an engine.
+        """Return the rate of an engine, created if it is missing.
 
-        :param engine: its name.
-        :param pool: its pool, whose average a new engine starts with.
+        :param engine: name of the engine.
+        :param pool: name of its pool, whose rate a new engine starts with.
         :returns: the rate.
         """
         rate = self._by_engine.get(engine)
@@ -38,18 +38,18 @@
         return rate
 
     def look(self, engine: str, pool: str) -> ReadRate:
-        """Give the rate of an engine, or its pool's while it is unseen.
+        """Return the rate of an engine, or of its pool if it is unknown.
 
-        :param engine: its name.
-        :param pool: its pool.
+        :param engine: name of the engine.
+        :param pool: name of its pool.
         :returns: the rate.
         """
         return self._by_engine.get(engine) or self.of_pool(pool)
 
     def of_pool(self, pool: str) -> ReadRate:
-        """Give how fast the engines of a pool read on average.
+        """Return the average rate of a pool.
 
-        :param pool: its name.
+        :param pool: name of the pool.
         :returns: the rate.
         """
         return self._by_pool.setdefault(pool, ReadRate())
@@ -62,15 +62,16 @@
         elapsed_ms: float,
         waiting: int = 0,
     ) -> None:
-        """Learn from a prompt whose answer has begun.
+        """Update the rates from a prompt whose response has begun.
 
-        :param engine: the engine that read it.
-        :param pool: its pool.
-        :param tokens: what was to be read before it and for it.
-        :param elapsed_ms: how long reading took.
-        :param waiting: how much of that was before it.
+        :param engine: name of the engine.
+        :param pool: name of its pool.
+        :param tokens: prefill tokens of the prompt and of those before it.
+        :param elapsed_ms: milliseconds of prefill.
+        :param waiting: tokens that were pending before the prompt.
         """
-        # Of what waited, part was read already; that must not count for much.
+        # Some pending tokens had their prefill already, so that a sample with
+        # many of them would be too high.
         if waiting > tokens - waiting:
             return
         self.find(engine, pool).note(tokens, elapsed_ms)
@@ -79,46 +80,46 @@
     def note_short(
         self, engine: str, pool: str, tokens: int, elapsed_ms: float
     ) -> None:
-        """Learn nothing from a short prompt.
+        """Ignore a prompt too short for a sample.
 
-        :param engine: the engine.
-        :param pool: its pool.
-        :param tokens: what was to be read.
-        :param elapsed_ms: time from its sending to its first event.
+        :param engine: name of the engine.
+        :param pool: name of its pool.
+        :param tokens: prefill tokens.
+        :param elapsed_ms: milliseconds from sending it to its first event.
         """
 
     def fixed_ms(self, pool: str) -> None:
-        """Know no fixed time.
+        """Return no fixed overhead.
 
         :param pool: name of the pool.
         """
 
     def take_told(self, engine: str, pool: str, rates: list[int]) -> None:
-        """Pass over what another gateway tells.
+        """Ignore samples of another gateway.
 
-        :param engine: the engine.
-        :param pool: its pool.
-        :param rates: what it read.
+        :param engine: name of the engine.
+        :param pool: name of its pool.
+        :param rates: the reported rates.
         """
 
     def take_untold(self) -> list[list[Any]]:
-        """Tell nothing.
+        """Return no samples to report.
 
-        :returns: nothing.
+        :returns: an empty list.
         """
         return []
 
     def write_all(self) -> list[list[Any]]:
-        """Tell nothing.
+        """Return no rates for a gateway that starts.
 
-        :returns: nothing.
+        :returns: an empty list.
         """
         return []
 
     def keep_only(self, names: set[str]) -> None:
-        """Forget engines that are not listed any more.
+        """Remove engines that are not listed any more.
 
-        :param names: the engines that are listed.
+        :param names: names of the listed engines.
         """
         for name in self._by_engine.keys() - names:
             self._by_engine.pop(name)
--- a/wingfall/gateway/knowledge/shared_rates.py
+++ b/wingfall/gateway/knowledge/shared_rates.py
@@ -1,7 +1,8 @@
-"""How fast engines read, by what all gateways have seen.
+"""Prefill rates of engines, estimated from the samples of all gateways.
 
-Owns the readings of each engine, seen here or told by other gateways, and those
-that they have not heard of. An engine without a reading has its pool's median.
+Stores the samples of each engine, measured here or reported by other gateways,
+and the samples to report to them. An engine without a sample has the median
+rate of its pool.
 """
 
 from __future__ import annotations
@@ -22,67 +23,67 @@
 if TYPE_CHECKING:
     from wingfall.clock import Clock
 
-# Readings of one engine that a heartbeat tells at most.
-_MOST_TOLD: Final = 4
-# A told reading is in tenths of a token a millisecond. A rate that a gateway
-# believes, which its peers neither count nor relay as a reading, is told below
-# zero.
-_TOLD_PARTS: Final = 10
+# Samples of one engine that a heartbeat reports at most.
+_MAX_REPORTED_SAMPLES: Final = 4
+# Reported rates are in tenths of a token per millisecond. A rate that a gateway
+# has estimated is sent as a negative number: peers neither count nor relay it
+# as a sample.
+_REPORTED_UNITS_PER_TOKEN: Final = 10
 
 
 @final
 class PoolRate:
-    """The median rate of a pool's engines, and their fixed time."""
+    """The median prefill rate of a pool and its fixed overhead."""
 
     __slots__ = ('_median', '_windows', 'fixed_start')
 
     def __init__(self) -> None:
-        """Start without an engine."""
+        """Create the rate of a pool without engines."""
         self._windows: dict[str, ReadingWindow] = {}
-        # Tokens a millisecond, None if it must be worked out anew.
+        # Tokens per millisecond, None if it must be recomputed.
         self._median: float | None = None
         self.fixed_start = FixedStart()
 
     @property
     def tokens_per_ms(self) -> float:
-        """Tokens that an engine of the pool reads in a millisecond."""
+        """Median prefill rate of the pool in tokens per millisecond."""
         if self._median is None:
-            seen = [each.rate for each in self._windows.values() if each.rate]
-            self._median = statistics.median(seen) if seen else FIRST_RATE
+            rates = [each.rate for each in self._windows.values() if each.rate]
+            self._median = statistics.median(rates) if rates else FIRST_RATE
         return self._median
 
     def add(self, engine: str, window: ReadingWindow) -> None:
-        """Take an engine into the pool.
+        """Add an engine to the pool.
 
-        :param engine: its name.
-        :param window: its readings.
+        :param engine: name of the engine.
+        :param window: samples of the engine.
         """
         self._windows[engine] = window
         self._median = None
 
     def remove(self, engine: str) -> None:
-        """Forget an engine.
+        """Remove an engine from the pool.
 
-        :param engine: its name.
+        :param engine: name of the engine.
         """
         self._windows.pop(engine, None)
         self._median = None
 
     def note_change(self) -> None:
-        """Note that an engine's rate has changed."""
+        """Discard the median after the rate of an engine has changed."""
         self._median = None
 
 
 @final
 class SharedRate:
-    """How fast one engine reads, or its pool while it is unseen."""
+    """The prefill rate of an engine, or of its pool without samples."""
 
     __slots__ = ('_engine', '_pool', 'window')
 
     def __init__(self, *, engine: str) -> None:
-        """Start without a reading, in no pool.
+        """Create a rate without samples or pool.
 
-        :param engine: its name.
+        :param engine: name of the engine.
         """
         self._engine = engine
         self._pool: PoolRate | None = None
@@ -90,13 +91,13 @@
 
     @property
     def tokens_per_ms(self) -> float:
-        """Tokens that the engine reads in a millisecond."""
+        """Prefill rate of the engine in tokens per millisecond."""
         if self.window.rate is not None:
             return self.window.rate
         return self._pool.tokens_per_ms if self._pool else FIRST_RATE
 
     def join(self, pool: PoolRate) -> None:
-        """Count the engine to its pool.
+        """Move the engine to a pool.
 
         :param pool: the rate of the pool.
         """
@@ -106,40 +107,40 @@
             pool.add(self._engine, self.window)
 
     def leave(self) -> None:
-        """Count the engine to no pool."""
+        """Remove the engine from its pool."""
         if self._pool is not None:
             self._pool.remove(self._engine)
             self._pool = None
 
     def note_change(self) -> None:
-        """Note that the engine's rate has changed."""
+        """Update the pool after the rate of the engine has changed."""
         if self._pool is not None:
             self._pool.note_change()
 
 
 @final
 class SharedRates:
-    """The rates of all engines."""
+    """Prefill rates of all engines, shared between gateways."""
 
-    __slots__ = ('_clock', '_engines', '_pools', '_untold')
+    __slots__ = ('_clock', '_engines', '_pools', '_unreported')
 
     def __init__(self, *, clock: Clock) -> None:
-        """Start without a reading.
+        """Create rates without samples.
 
-        :param clock: the time, by which readings age.
+        :param clock: clock that determines the age of samples.
         """
         self._clock = clock
         self._pools: dict[str, PoolRate] = {}
         self._engines: dict[str, SharedRate] = {}
-        # Tenths of a token a millisecond, by engine.
-        self._untold: dict[str, collections.deque[int]] = {}
+        # Tenths of a token per millisecond, by engine.
+        self._unreported: dict[str, collections.deque[int]] = {}
 
     def find(self, engine: str, pool: str) -> SharedRate:
-        """Give the rate of an engine.
+        """Return the rate of an engine, created if it is missing.
 
-        :param engine: its name.
-        :param pool: its pool, empty while the engine isn't listed.
-        :returns: the rate, which follows later readings.
+        :param engine: name of the engine.
+        :param pool: name of its pool, empty while the engine isn't listed.
+        :returns: the rate, which is updated by later samples.
         """
         rate = self._engines.get(engine)
         if rate is None:
@@ -150,19 +151,19 @@
         return rate
 
     def look(self, engine: str, pool: str) -> SharedRate | PoolRate:
-        """Give the rate of an engine, or its pool's while it is unseen.
+        """Return the rate of an engine, or of its pool if it is unknown.
 
-        :param engine: its name.
-        :param pool: its pool.
+        :param engine: name of the engine.
+        :param pool: name of its pool.
         :returns: the rate.
         """
         return self._engines.get(engine) or self.of_pool(pool)
 
     def of_pool(self, pool: str) -> PoolRate:
-        """Give the median rate of a pool.
+        """Return the median rate of a pool.
 
-        :param pool: its name.
-        :returns: the rate, which follows later readings.
+        :param pool: name of the pool.
+        :returns: the rate, which is updated by later samples.
         """
         rate = self._pools.get(pool)
         if rate is None:
@@ -171,10 +172,10 @@
         return rate
 
     def fixed_ms(self, pool: str) -> float | None:
-        """Tell the fixed time of a pool's first events.
+        """Return the fixed overhead of first events of a pool.
 
-        :param pool: its name.
-        :returns: milliseconds, None until it is known.
+        :param pool: name of the pool.
+        :returns: milliseconds, None until there are enough samples.
         """
         return self.of_pool(pool).fixed_start.fixed_ms
 
@@ -186,99 +187,100 @@
         elapsed_ms: float,
         waiting: int = 0,
     ) -> None:
-        """Add a reading of this gateway.
-
-        :param engine: the engine.
-        :param pool: its pool.
-        :param tokens: what was to be read before a prompt and for it.
-        :param elapsed_ms: how long reading took.
-        :param waiting: how much of that was before it. It doesn't count: some
-            of it was read already, so that it would make readings too high.
+        """Add a sample of this gateway.
+
+        :param engine: name of the engine.
+        :param pool: name of its pool.
+        :param tokens: prefill tokens of a prompt and of those before it.
+        :param elapsed_ms: milliseconds of prefill.
+        :param waiting: tokens that were pending before the prompt. They are
+            excluded: some had their prefill already, which would make the
+            sample too high.
         """
-        own = tokens - waiting
-        if own < MEASURED_TOKENS or elapsed_ms <= 0:
+        prompt_tokens = tokens - waiting
+        if prompt_tokens < MEASURED_TOKENS or elapsed_ms <= 0:
             return
-        rate = _bound(own / elapsed_ms)
+        rate = _clamp_rate(prompt_tokens / elapsed_ms)
         shared, now_ms = self.find(engine, pool), self._clock.now_ms()
-        # Behind much else a prompt tells no more than that the engine is at
-        # least so fast. Under high load there are few others.
-        if waiting > own and rate <= shared.tokens_per_ms:
+        # A prompt behind more tokens than its own shows only a lower bound of
+        # the rate. Under high load there are few other prompts.
+        if waiting > prompt_tokens and rate <= shared.tokens_per_ms:
             return
         if shared.window.needs_more(now_ms):
-            untold = self._untold.setdefault(
-                engine, collections.deque(maxlen=_MOST_TOLD)
+            unreported = self._unreported.setdefault(
+                engine, collections.deque(maxlen=_MAX_REPORTED_SAMPLES)
             )
-            untold.append(round(rate * _TOLD_PARTS))
+            unreported.append(round(rate * _REPORTED_UNITS_PER_TOKEN))
         shared.window.note(rate, now_ms)
         shared.note_change()
 
     def note_short(
         self, engine: str, pool: str, tokens: int, elapsed_ms: float
     ) -> None:
-        """Learn the fixed time from a prompt that is too short for a reading.
+        """Update the fixed overhead from a prompt too short for a sample.
 
-        :param engine: the engine.
-        :param pool: its pool.
-        :param tokens: what was to be read before the prompt and for it.
-        :param elapsed_ms: time from its sending to its first event.
+        :param engine: name of the engine.
+        :param pool: name of its pool.
+        :param tokens: prefill tokens of the prompt and of those before it.
+        :param elapsed_ms: milliseconds from sending it to its first event.
         """
         if tokens < MEASURED_TOKENS:
             read_ms = tokens / self.find(engine, pool).tokens_per_ms
             self.of_pool(pool).fixed_start.note(elapsed_ms - read_ms)
 
     def take_told(self, engine: str, pool: str, rates: list[int]) -> None:
-        """Add readings of another gateway.
+        """Merge samples that another gateway reported.
 
-        :param engine: the engine.
-        :param pool: its pool, empty while the engine isn't listed here.
-        :param rates: tenths of a token a millisecond, the newest last; below
-            zero what the other gateway believes.
+        :param engine: name of the engine.
+        :param pool: name of its pool, empty while the engine isn't listed.
+        :param rates: tenths of a token per millisecond, the newest last;
+            negative numbers are rates that the other gateway estimated.
         """
         shared, now_ms = self.find(engine, pool), self._clock.now_ms()
-        for told in rates:
-            rate = _bound(abs(told) / _TOLD_PARTS)
-            if told < 0:
+        for tenths in rates:
+            rate = _clamp_rate(abs(tenths) / _REPORTED_UNITS_PER_TOKEN)
+            if tenths < 0:
                 shared.window.note_belief(rate, now_ms)
             else:
                 shared.window.note(rate, now_ms)
         shared.note_change()
 
     def take_untold(self) -> list[list[Any]]:
-        """Take the readings that peers have not heard of.
+        """Return and clear the samples that were not reported to peers.
 
-        :returns: for each engine its name and the rates, as they are told.
+        :returns: for each engine its name and the rates in wire format.
         """
-        untold = self._untold
-        self._untold = {}
-        return [[engine, *rates] for engine, rates in untold.items()]
+        unreported = self._unreported
+        self._unreported = {}
+        return [[engine, *rates] for engine, rates in unreported.items()]
 
     def write_all(self) -> list[list[Any]]:
-        """Write the rates that are believed, for a gateway that starts.
+        """Encode the estimated rates for a gateway that starts.
 
-        :returns: for each engine its name and its rate, as they are told.
+        :returns: for each engine its name and its rate in wire format.
         """
         return [
-            [engine, -round(shared.window.rate * _TOLD_PARTS)]
+            [engine, -round(shared.window.rate * _REPORTED_UNITS_PER_TOKEN)]
             for engine, shared in self._engines.items()
             if shared.window.rate is not None
         ]
 
     def keep_only(self, names: set[str]) -> None:
-        """Forget engines that are not listed any more.
+        """Remove engines that are not listed any more.
 
-        What was told of engines that aren't listed yet is kept for a while:
-        a gateway that starts hears of them before it has their list.
+        Samples of engines that aren't listed yet are retained for a while: a
+        gateway that starts receives them before it has the list of engines.
 
-        :param names: the engines that are listed.
+        :param names: names of the listed engines.
         """
         now_ms = self._clock.now_ms()
         for name in self._engines.keys() - names:
-            self._untold.pop(name, None)
+            self._unreported.pop(name, None)
             shared = self._engines[name]
             shared.leave()
             if shared.window.is_old(now_ms):
                 self._engines.pop(name)
 
 
-def _bound(tokens_per_ms: float) -> float:
+def _clamp_rate(tokens_per_ms: float) -> float:
     return min(MAX_RATE, max(MIN_RATE, tokens_per_ms))
