--- a/tests/test_sized_rates.py
+++ b/tests/test_sized_rates.py
@@ -1,4 +1,4 @@
-"""Rates that are learned apart in small pools and together in large ones."""
+"""Prefill rates that are local in small pools and shared in large ones."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 
 POOL = 'engines'
-# As another gateway tells it: tenths of a token a millisecond.
-TOLD = [1500, 1500, 1500]
-TOLD_RATE = 150
+# Reported by another gateway, in tenths of a token per millisecond.
+REPORTED_RATES = [1500, 1500, 1500]
+REPORTED_RATE = 150
 FIRST_RATE = 25
-LARGE = 9
+LARGE_POOL = 9
 
 
 @pytest.fixture(name='clock')
@@ -29,12 +29,12 @@
         clock=clock,
         rates=SharedRates(clock=clock),
         starts=CorrectedEstimates(),
-        large_pool=LARGE,
+        large_pool=LARGE_POOL,
     )
 
 
 def list_engines(knowledge: EndpointKnowledge, count: int) -> None:
-    """Let the store list so many engines."""
+    """Put the given number of engines into the endpoint table."""
     for number in range(count):
         knowledge.table.put(
             PoolEndpoint(
@@ -50,34 +50,35 @@
 
 
 @pytest.mark.parametrize(
-    ('count', 'rate'), [(LARGE - 1, FIRST_RATE), (LARGE, TOLD_RATE)]
+    ('count', 'rate'),
+    [(LARGE_POOL - 1, FIRST_RATE), (LARGE_POOL, REPORTED_RATE)],
 )
 def test_readings_of_others_count_in_large_pools_alone(
     knowledge: EndpointKnowledge, count: int, rate: float
 ):
     list_engines(knowledge, count)
-    knowledge.take_readings('i-0', TOLD)
+    knowledge.take_readings('i-0', REPORTED_RATES)
     assert knowledge.speed('i-0').rate.tokens_per_ms == rate
 
 
 def test_pool_that_grows_counts_as_large_soon(
     knowledge: EndpointKnowledge, clock: ManualClock
 ):
-    list_engines(knowledge, LARGE - 1)
-    knowledge.take_readings('i-0', TOLD)
+    list_engines(knowledge, LARGE_POOL - 1)
+    knowledge.take_readings('i-0', REPORTED_RATES)
     speed = knowledge.speed('i-0')
     assert speed.rate.tokens_per_ms == FIRST_RATE
-    list_engines(knowledge, LARGE)
+    list_engines(knowledge, LARGE_POOL)
     clock.advance(500)
-    assert speed.rate.tokens_per_ms == TOLD_RATE
+    assert speed.rate.tokens_per_ms == REPORTED_RATE
 
 
 def test_estimates_of_a_small_pool_are_not_corrected(
     knowledge: EndpointKnowledge, clock: ManualClock
 ):
-    list_engines(knowledge, LARGE - 1)
+    list_engines(knowledge, LARGE_POOL - 1)
     assert knowledge.expected_start_ms(POOL, 0, 100) == 100
-    list_engines(knowledge, LARGE)
+    list_engines(knowledge, LARGE_POOL)
     clock.advance(500)
     assert knowledge.expected_start_ms(POOL, 0, 100) > 100
 
@@ -87,10 +88,10 @@
 ):
     speed = knowledge.speed('i-0')
     assert speed.rate.tokens_per_ms == FIRST_RATE
-    list_engines(knowledge, LARGE)
+    list_engines(knowledge, LARGE_POOL)
     clock.advance(500)
-    knowledge.take_readings('i-0', TOLD)
-    assert speed.rate.tokens_per_ms == TOLD_RATE
+    knowledge.take_readings('i-0', REPORTED_RATES)
+    assert speed.rate.tokens_per_ms == REPORTED_RATE
 
 
 @pytest.mark.parametrize(
@@ -104,12 +105,12 @@
     knowledge = EndpointKnowledge(
         clock=clock,
         rates=SharedRates(clock=clock),
-        large_pool=LARGE,
+        large_pool=LARGE_POOL,
         short_gap_ms=250,
     )
     knowledge.note_gaps(asked_ms)
-    list_engines(knowledge, LARGE)
+    list_engines(knowledge, LARGE_POOL)
     assert knowledge.judges_together(POOL) == together
-    knowledge.take_readings('i-0', TOLD)
-    rate = TOLD_RATE if together else FIRST_RATE
+    knowledge.take_readings('i-0', REPORTED_RATES)
+    rate = REPORTED_RATE if together else FIRST_RATE
     assert knowledge.speed('i-0').rate.tokens_per_ms == rate
--- a/wingfall/gateway/knowledge/sized_rates.py
+++ b/wingfall/gateway/knowledge/sized_rates.py
@@ -1,8 +1,8 @@
-"""How fast engines read: in some pools learned apart, in others together.
+"""Prefill rates of engines, local or shared depending on the pool.
 
-Answers a small pool, each engine of which each gateway sees so often that its
-own average settles and follows what the engine does at the moment, beside a
-large one, where many gateways see little of each engine.
+In a small pool each gateway uses each engine so often that its own average
+settles and follows the engine's present rate. In a large pool many gateways
+have few samples of each engine.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 
 @final
 class SizedRate:
-    """The rate of one engine, by how its pool is judged now."""
+    """The rate of an engine, of the kind that its pool uses at present."""
 
     __slots__ = ('_rates', 'engine', 'pool')
 
     def __init__(self, *, rates: SizedRates, engine: str) -> None:
-        """Start in no pool.
+        """Create the rate of an engine without a pool.
 
         :param rates: the rates of all engines.
-        :param engine: its name.
+        :param engine: name of the engine.
         """
         self._rates = rates
         self.engine = engine
@@ -32,15 +32,15 @@
 
     @property
     def tokens_per_ms(self) -> float:
-        """Tokens that the engine reads in a millisecond."""
+        """Prefill rate of the engine in tokens per millisecond."""
         return self._rates.look(self.engine, self.pool).tokens_per_ms
 
 
 @final
 class SizedRates:
-    """Rates of two kinds, learned apart and together."""
+    """Rates that are local or shared, selected for each pool."""
 
-    __slots__ = ('_by_engine', '_is_together', '_shared', '_own')
+    __slots__ = ('_by_engine', '_is_shared_pool', '_shared', '_own')
 
     def __init__(
         self,
@@ -49,26 +49,26 @@
         shared: Rates,
         is_together: Callable[[str], bool],
     ) -> None:
-        """Join the kinds.
+        """Create rates from both kinds.
 
-        :param own: rates that this gateway learns by itself.
-        :param shared: those that gateways share.
-        :param is_together: tells whether gateways judge a pool together.
+        :param own: rates that this gateway estimates by itself.
+        :param shared: rates that gateways share.
+        :param is_together: returns whether a pool uses the shared rates.
         """
         self._own = own
         self._shared = shared
-        self._is_together = is_together
+        self._is_shared_pool = is_together
         self._by_engine: dict[str, SizedRate] = {}
 
     def find(self, engine: str, pool: str) -> SizedRate:
-        """Give the rate of an engine.
+        """Return the rate of an engine, created if it is missing.
 
-        An engine may be heard of before it is listed, so that its pool is taken
-        whenever it is told.
+        An engine may be known before it is listed, so that its pool is set by
+        any later call that names it.
 
-        :param engine: its name.
-        :param pool: its pool, empty while the engine isn't listed.
-        :returns: the rate, which follows later readings.
+        :param engine: name of the engine.
+        :param pool: name of its pool, empty while the engine isn't listed.
+        :returns: the rate, which is updated by later samples.
         """
         self._own.find(engine, pool)
         self._shared.find(engine, pool)
@@ -80,21 +80,21 @@
         return rate
 
     def look(self, engine: str, pool: str) -> Rate:
-        """Give the rate of an engine, or its pool's while it is unseen.
+        """Return the rate of an engine, or of its pool if it is unknown.
 
-        :param engine: its name.
-        :param pool: its pool.
+        :param engine: name of the engine.
+        :param pool: name of its pool.
         :returns: the rate.
         """
-        return self._of(pool).look(engine, pool)
+        return self._rates_of(pool).look(engine, pool)
 
     def of_pool(self, pool: str) -> Rate:
-        """Give the rate of a pool's engines on the whole.
+        """Return the overall rate of a pool.
 
-        :param pool: its name.
+        :param pool: name of the pool.
         :returns: the rate.
         """
-        return self._of(pool).of_pool(pool)
+        return self._rates_of(pool).of_pool(pool)
 
     def note(
         self,
@@ -104,13 +104,13 @@
         elapsed_ms: float,
         waiting: int = 0,
     ) -> None:
-        """Learn from a prompt whose answer has begun.
+        """Update the rates from a prompt whose response has begun.
 
-        :param engine: the engine that read it.
-        :param pool: its pool.
-        :param tokens: what was to be read before it and for it.
-        :param elapsed_ms: how long reading took.
-        :param waiting: how much of that was before it.
+        :param engine: name of the engine.
+        :param pool: name of its pool.
+        :param tokens: prefill tokens of the prompt and of those before it.
+        :param elapsed_ms: milliseconds of prefill.
+        :param waiting: tokens that were pending before the prompt.
         """
         self.find(engine, pool)
         for rates in (self._own, self._shared):
@@ -119,57 +119,57 @@
     def note_short(
         self, engine: str, pool: str, tokens: int, elapsed_ms: float
     ) -> None:
-        """Learn from one that was too short to tell of the reading.
+        """Update the rates from a prompt too short for a sample.
 
-        :param engine: the engine.
-        :param pool: its pool.
-        :param tokens: what was to be read.
-        :param elapsed_ms: time from its sending to its first event.
+        :param engine: name of the engine.
+        :param pool: name of its pool.
+        :param tokens: prefill tokens.
+        :param elapsed_ms: milliseconds from sending it to its first event.
         """
         for rates in (self._own, self._shared):
             rates.note_short(engine, pool, tokens, elapsed_ms)
 
     def fixed_ms(self, pool: str) -> float | None:
-        """Tell the fixed time of a pool's first events.
+        """Return the fixed overhead of first events of a pool.
 
-        :param pool: its name.
-        :returns: milliseconds, None if it isn't learned.
+        :param pool: name of the pool.
+        :returns: milliseconds, None if it is unknown.
         """
-        return self._of(pool).fixed_ms(pool)
+        return self._rates_of(pool).fixed_ms(pool)
 
     def take_told(self, engine: str, pool: str, rates: list[int]) -> None:
-        """Take readings of another gateway.
+        """Merge samples that another gateway reported.
 
-        :param engine: the engine.
-        :param pool: its pool.
-        :param rates: what it told.
+        :param engine: name of the engine.
+        :param pool: name of its pool.
+        :param rates: the reported rates.
         """
         self.find(engine, pool)
         self._shared.take_told(engine, pool, rates)
 
     def take_untold(self) -> list[list[Any]]:
-        """Take the readings that peers have not heard of.
+        """Return and clear the samples that were not reported to peers.
 
-        :returns: for each engine its name and what is told.
+        :returns: for each engine its name and the rates in wire format.
         """
         return self._shared.take_untold()
 
     def write_all(self) -> list[list[Any]]:
-        """Write what is known, for a gateway that starts.
+        """Encode the shared rates for a gateway that starts.
 
-        :returns: for each engine its name and what is told.
+        :returns: for each engine its name and its rate in wire format.
         """
         return self._shared.write_all()
 
     def keep_only(self, names: set[str]) -> None:
-        """Forget engines that are not listed any more.
+        """Remove engines that are not listed any more.
 
-        :param names: the engines that are listed.
+        :param names: names of the listed engines.
         """
         self._own.keep_only(names)
         self._shared.keep_only(names)
         for name in self._by_engine.keys() - names:
             self._by_engine.pop(name)
 
-    def _of(self, pool: str) -> Rates:
-        return self._shared if self._is_together(pool) else self._own
+    def _rates_of(self, pool: str) -> Rates:
+        return self._shared if self._is_shared_pool(pool) else self._own
