--- a/tests/test_start_estimates.py
+++ b/tests/test_start_estimates.py
@@ -1,4 +1,4 @@
-"""Estimates of first events and how far they are off."""
+"""Estimates of first events and their errors."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 )
 
 POOL = 'pool'
-FIXED_MS = 50
+OVERHEAD_MS = 50
 
 
 @pytest.fixture
 def starts() -> CorrectedEstimates:
-    """Give estimates for a pool whose fixed time is known."""
-    return CorrectedEstimates(fixed_time={POOL: FIXED_MS}.get)
+    """Return estimates for a pool whose fixed overhead is known."""
+    return CorrectedEstimates(fixed_time={POOL: OVERHEAD_MS}.get)
 
 
-def learn(
-    starts: StartEstimates, tier: int, *cases: tuple[float, float]
+def note_all(
+    starts: StartEstimates, tier: int, *times_ms: tuple[float, float]
 ) -> None:
-    """Have first events come: what was estimated, what came."""
-    for estimate_ms, came_ms in cases:
-        starts.note(POOL, tier, estimate_ms, came_ms)
+    """Record first events, given estimated and actual milliseconds."""
+    for estimate_ms, actual_ms in times_ms:
+        starts.note(POOL, tier, estimate_ms, actual_ms)
 
 
 def test_plain_estimates_stay_as_they_are():
     starts = StartEstimates()
-    learn(starts, 0, *repeat((100, 300), 20))
+    note_all(starts, 0, *repeat((100, 300), 20))
     assert starts.expected_ms(POOL, 0, 100) == 100
     error = starts.errors[POOL, 0]
     assert (error.median, error.worst_tenth) == (3, 3)
@@ -43,45 +43,45 @@
 
 
 def test_estimates_follow_what_came_by_tier(starts: CorrectedEstimates):
-    learn(starts, 0, *repeat((150, 100), 4))
-    learn(starts, 3, *repeat((150, 300), 4))
+    note_all(starts, 0, *repeat((150, 100), 4))
+    note_all(starts, 3, *repeat((150, 300), 4))
     assert starts.expected_ms(POOL, 0, 350) == pytest.approx(200)
     assert starts.expected_ms(POOL, 3, 350) == pytest.approx(600)
     assert starts.expected_ms(POOL, 1, 350) == 400
 
 
 def test_few_first_events_correct_nothing(starts: CorrectedEstimates):
-    learn(starts, 0, *repeat((150, 400), 3))
+    note_all(starts, 0, *repeat((150, 400), 3))
     assert starts.expected_ms(POOL, 0, 150) == 200
 
 
 def test_one_absurd_first_event_corrects_nothing(starts: CorrectedEstimates):
-    learn(starts, 0, *repeat((150, 200), 6), (150, 20_000))
+    note_all(starts, 0, *repeat((150, 200), 6), (150, 20_000))
     assert starts.expected_ms(POOL, 0, 150) == 200
 
 
-@pytest.mark.parametrize(('came_ms', 'part'), [(1, 0.3), (20_000, 3)])
+@pytest.mark.parametrize(('actual_ms', 'factor'), [(1, 0.3), (20_000, 3)])
 def test_corrections_are_bounded(
-    starts: CorrectedEstimates, came_ms: float, part: float
+    starts: CorrectedEstimates, actual_ms: float, factor: float
 ):
-    learn(starts, 0, *repeat((150, came_ms), 32))
-    assert starts.expected_ms(POOL, 0, 150) == pytest.approx(200 * part)
+    note_all(starts, 0, *repeat((150, actual_ms), 32))
+    assert starts.expected_ms(POOL, 0, 150) == pytest.approx(200 * factor)
 
 
 def test_failure_is_forgotten_with_later_first_events(
     starts: CorrectedEstimates,
 ):
-    learn(starts, 0, *repeat((150, 20_000), 32))
-    learn(starts, 0, *repeat((150, 200), 32))
+    note_all(starts, 0, *repeat((150, 20_000), 32))
+    note_all(starts, 0, *repeat((150, 200), 32))
     assert starts.expected_ms(POOL, 0, 150) == pytest.approx(200)
 
 
 def test_error_is_that_of_the_corrected_estimate(starts: CorrectedEstimates):
-    learn(starts, 0, *repeat((150, 400), 4))
+    note_all(starts, 0, *repeat((150, 400), 4))
     assert starts.errors[POOL, 0].median == 2
-    learn(starts, 0, *repeat((150, 400), 28))
-    learn(starts, 0, *repeat((150, 800), 4))
+    note_all(starts, 0, *repeat((150, 400), 28))
+    note_all(starts, 0, *repeat((150, 800), 4))
     assert starts.errors[POOL, 0].median == 1
     assert starts.errors[POOL, 0].worst_tenth == 1
-    learn(starts, 0, (150, 800))
+    note_all(starts, 0, (150, 800))
     assert starts.errors[POOL, 0].worst_tenth == 2
--- a/tests/test_start_figures.py
+++ b/tests/test_start_figures.py
@@ -1,4 +1,4 @@
-"""What operators see of estimates of first events."""
+"""Errors of first event estimates on the status page and in metrics."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def make_estimates() -> StartEstimates:
-    """Make estimates of which most held and two were off."""
+    """Create estimates of which eight are exact and two too low."""
     starts = StartEstimates()
-    for came_ms in (100, 100, 100, 100, 100, 100, 100, 100, 250, 250):
-        starts.note('engines', 2, 100, came_ms)
+    for actual_ms in (100, 100, 100, 100, 100, 100, 100, 100, 250, 250):
+        starts.note('engines', 2, 100, actual_ms)
     return starts
 
 
@@ -28,8 +28,8 @@
 def test_errors_are_a_metric():
     metrics = Metrics()
     set_start_errors(metrics, make_estimates())
-    shown = metrics.render().decode()
+    rendered = metrics.render().decode()
     assert (
         'wingfall_start_error{part="worst_tenth",pool="engines",tier="2"} 2.5'
-        in shown
+        in rendered
     )
--- a/wingfall/gateway/knowledge/fixed_start.py
+++ b/wingfall/gateway/knowledge/fixed_start.py
@@ -1,8 +1,8 @@
-"""The part of a first event's time that doesn't grow with its prompt.
+"""Fixed overhead of a first event, independent of the prompt's length.
 
-Answers short prompts at engines that read little: for them the way to the
-engine and its first step are most of the time, and leaving them out makes
-readings too low. One time for all engines of a pool.
+For short prompts at engines with little prefill, the network delay and the
+first step of the engine are most of the time; ignoring them makes prefill rate
+samples too low. All engines of a pool share one overhead.
 """
 
 from __future__ import annotations
@@ -12,42 +12,44 @@
 
 from wingfall.gateway.knowledge.quantile import quantile
 
-# Short reads that are kept: some seconds of a gateway's.
-_KEPT: Final = 32
-# Short reads that are needed before the time is known.
-_NEEDED: Final = 4
-# The read that counts, as a part of all in ascending order. Low, since reads of
-# other gateways that are not known here make a start too late and nothing
-# makes it too soon but a part that was cached after all.
-_START_PART: Final = 0.25
-# Bounds in milliseconds, far below and above the engines seen so far.
-_LEAST_MS: Final = 1.0
-_MOST_MS: Final = 500
+# Short prefills that are retained: some seconds at a gateway.
+_MAX_SAMPLES: Final = 32
+# Short prefills that are required before the overhead is known.
+_MIN_SAMPLES: Final = 4
+# Quantile of the samples that is the overhead. Low, since unknown prefills of
+# other gateways make samples too high and only an unexpectedly cached prompt
+# part makes them too low.
+_OVERHEAD_QUANTILE: Final = 0.25
+# Bounds of a sample, far below and above those of known engines.
+_MIN_SAMPLE_MS: Final = 1.0
+_MAX_SAMPLE_MS: Final = 500
 
 
 @final
 class FixedStart:
-    """The fixed time of a pool's first events."""
+    """The fixed overhead of a pool's first events."""
 
-    __slots__ = ('_seen_ms',)
+    __slots__ = ('_samples_ms',)
 
     def __init__(self) -> None:
-        """Start without a read."""
-        self._seen_ms: collections.deque[float] = collections.deque(
-            maxlen=_KEPT
+        """Create an overhead without samples."""
+        self._samples_ms: collections.deque[float] = collections.deque(
+            maxlen=_MAX_SAMPLES
         )
 
     @property
     def fixed_ms(self) -> float | None:
-        """The fixed time in milliseconds, None until it is known."""
-        if len(self._seen_ms) < _NEEDED:
+        """The overhead in milliseconds, None until it is known."""
+        if len(self._samples_ms) < _MIN_SAMPLES:
             return None
-        return quantile(self._seen_ms, _START_PART)
+        return quantile(self._samples_ms, _OVERHEAD_QUANTILE)
 
-    def note(self, start_ms: float) -> None:
-        """Learn from a short read.
+    def note(self, overhead_ms: float) -> None:
+        """Record a short prefill.
 
-        :param start_ms: milliseconds to its first event, without those in
-            which its own tokens were read.
+        :param overhead_ms: milliseconds to its first event, without the prefill
+            of its own tokens.
         """
-        self._seen_ms.append(min(_MOST_MS, max(_LEAST_MS, start_ms)))
+        self._samples_ms.append(
+            min(_MAX_SAMPLE_MS, max(_MIN_SAMPLE_MS, overhead_ms))
+        )
--- a/wingfall/gateway/knowledge/start_estimates.py
+++ b/wingfall/gateway/knowledge/start_estimates.py
@@ -1,9 +1,9 @@
-"""When first events come, beside when they were estimated to come.
+"""Estimates of the time to first events, and their errors.
 
-An estimate by what waits at an engine knows neither that urgent prompts
-overtake there, nor how much of what waits was read already, nor what other
-gateways have sent since. How far it is off on the whole is learned for each
-pool and tier.
+An estimate from the pending tokens of an engine includes neither that urgent
+prompts are served first, nor how many of these tokens had their prefill
+already, nor what other gateways have sent since. Its overall error is measured
+for each pool and tier.
 """
 
 from __future__ import annotations
@@ -17,29 +17,29 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-# First events of one pool and tier that are kept: some seconds of a gateway's.
-_KEPT: Final = 32
-# First events that are needed before an estimate is corrected.
-_NEEDED: Final = 4
-# Bounds of a correction, so that a failure of many engines, in which first
-# events come late or never, does not refuse all that comes after it.
-_LEAST: Final = 0.3
-_MOST: Final = 3
-# Milliseconds of the way to an engine and of its first step, before a pool has
-# shown its own. Keeps ratios of short prompts comparable.
-_FIRST_STEP_MS: Final = 40
-_MEDIAN: Final = 0.5
-_WORST_TENTH: Final = 0.9
+# First events of a pool and tier that are retained: some seconds at a gateway.
+_MAX_SAMPLES: Final = 32
+# First events that are required before an estimate is corrected.
+_MIN_SAMPLES: Final = 4
+# Bounds of a correction, so that a failure of many engines, which delays or
+# prevents first events, does not cause all later requests to be refused.
+_MIN_FACTOR: Final = 0.3
+_MAX_FACTOR: Final = 3
+# Network delay to an engine and its first step, used until the overhead of a
+# pool is measured. Makes ratios of short prompts comparable.
+_DEFAULT_OVERHEAD_MS: Final = 40
+_MEDIAN_QUANTILE: Final = 0.5
+_WORST_TENTH_QUANTILE: Final = 0.9
 
 # Pool and tier.
-_Kind: TypeAlias = tuple[str, int]
-# Gives the fixed time of a pool's first events in milliseconds, None if it is
-# not known.
+_PoolTier: TypeAlias = tuple[str, int]
+# Returns the fixed overhead of a pool's first events in milliseconds, None if
+# it is unknown.
 FixedTime: TypeAlias = Callable[[str], 'float | None']
 
 
 def know_nothing(pool: str) -> None:
-    """Give no fixed time.
+    """Return no fixed overhead.
 
     :param pool: name of the pool.
     """
@@ -47,56 +47,59 @@
 
 @final
 class StartError:
-    """How far the estimates of a pool and tier were off."""
+    """Error statistics of the estimates of a pool and tier."""
 
     __slots__ = ('median', 'worst_tenth')
 
     def __init__(self, *, median: float, worst_tenth: float) -> None:
-        """Keep figures.
+        """Create error statistics.
 
-        :param median: the first event over its estimate, at the median.
-        :param worst_tenth: the same of which one in ten is over.
+        :param median: median ratio of the actual to the estimated time.
+        :param worst_tenth: 90th percentile of this ratio.
         """
         self.median = median
         self.worst_tenth = worst_tenth
 
 
 class StartEstimates:
-    """Estimates of first events as they are, the baseline."""
+    """Estimates of first events without correction, the baseline."""
 
-    __slots__ = ('_errors', '_fixed_time')
+    __slots__ = ('_error_ratios', '_get_overhead_ms')
 
     def __init__(self, *, fixed_time: FixedTime = know_nothing) -> None:
-        """Start without a first event.
+        """Create estimates without samples.
 
-        :param fixed_time: gives the fixed time of a pool's first events.
+        :param fixed_time: returns the fixed overhead of a pool.
         """
-        self._fixed_time = fixed_time
-        # First events over their estimates, the newest last.
-        self._errors: dict[_Kind, collections.deque[float]] = {}
+        self._get_overhead_ms = fixed_time
+        # Ratios of actual to estimated times, the newest last.
+        self._error_ratios: dict[_PoolTier, collections.deque[float]] = {}
 
     @property
-    def errors(self) -> dict[_Kind, StartError]:
-        """How far estimates were off, by pool and tier."""
-        return {kind: _describe(seen) for kind, seen in self._errors.items()}
+    def errors(self) -> dict[_PoolTier, StartError]:
+        """Error statistics of the estimates, by pool and tier."""
+        return {
+            key: _summarize(ratios)
+            for key, ratios in self._error_ratios.items()
+        }
 
     def error(self, pool: str, tier: int) -> StartError | None:
-        """Tell how far the estimates of one pool and tier were off.
+        """Return the error statistics of a pool and tier.
 
         :param pool: name of the pool.
-        :param tier: how urgent prompts are at their engines.
-        :returns: the figures, None while few first events have come.
+        :param tier: priority tier of the prompts, 0 the most urgent.
+        :returns: the statistics, None while there are too few samples.
         """
-        seen = self._errors.get((pool, tier), ())
-        return _describe(seen) if len(seen) >= _NEEDED else None
+        ratios = self._error_ratios.get((pool, tier), ())
+        return _summarize(ratios) if len(ratios) >= _MIN_SAMPLES else None
 
     def expected_ms(self, pool: str, tier: int, estimate_ms: float) -> float:
-        """Correct an estimate.
+        """Return the expected time to a first event.
 
         :param pool: name of the pool.
-        :param tier: how urgent the prompt is at its engine, 0 the most.
-        :param estimate_ms: milliseconds to the first event by what waits.
-        :returns: milliseconds to the first event as it is likely to come.
+        :param tier: priority tier of the prompt, 0 the most urgent.
+        :param estimate_ms: milliseconds estimated from the pending tokens.
+        :returns: expected milliseconds to the first event.
         """
         return estimate_ms
 
@@ -105,98 +108,100 @@
         pool: str,
         tier: int,
         estimate_ms: float,
-        came_ms: float,
+        actual_ms: float,
     ) -> None:
-        """Learn from a first event.
+        """Record a first event.
 
         :param pool: name of the pool.
-        :param tier: how urgent the prompt was at its engine.
-        :param estimate_ms: milliseconds as they were estimated by what waited.
-        :param came_ms: milliseconds as they came.
+        :param tier: priority tier of the prompt, 0 the most urgent.
+        :param estimate_ms: milliseconds estimated from the pending tokens.
+        :param actual_ms: actual milliseconds to the first event.
         """
         expected_ms = self.expected_ms(pool, tier, estimate_ms)
-        # A millisecond is what the clock can tell.
-        _keep(self._errors, (pool, tier), came_ms / max(1, expected_ms))
+        # The clock has a resolution of one millisecond.
+        _add_ratio(
+            self._error_ratios, (pool, tier), actual_ms / max(1, expected_ms)
+        )
 
 
 @final
 class CorrectedEstimates(StartEstimates):
-    """Estimates of first events, corrected by those that came."""
+    """Estimates of first events, corrected by their past errors."""
 
     __slots__ = ('_factors', '_ratios')
 
     def __init__(self, *, fixed_time: FixedTime = know_nothing) -> None:
-        """Start without a correction.
+        """Create estimates without corrections.
 
-        :param fixed_time: gives the fixed time of a pool's first events.
+        :param fixed_time: returns the fixed overhead of a pool.
         """
         super().__init__(fixed_time=fixed_time)
-        # First events over what they would be without other prompts.
-        self._ratios: dict[_Kind, collections.deque[float]] = {}
-        # Their median, by which an estimate is corrected.
-        self._factors: dict[_Kind, float] = {}
+        # Ratios of actual times to uncorrected estimates with the overhead.
+        self._ratios: dict[_PoolTier, collections.deque[float]] = {}
+        # Bounded median ratios, by which estimates are multiplied.
+        self._factors: dict[_PoolTier, float] = {}
 
     def expected_ms(self, pool: str, tier: int, estimate_ms: float) -> float:
-        """Correct an estimate.
+        """Return the expected time to a first event.
 
         :param pool: name of the pool.
-        :param tier: how urgent the prompt is at its engine, 0 the most.
-        :param estimate_ms: milliseconds to the first event by what waits.
-        :returns: milliseconds to the first event as it is likely to come.
+        :param tier: priority tier of the prompt, 0 the most urgent.
+        :param estimate_ms: milliseconds estimated from the pending tokens.
+        :returns: expected milliseconds to the first event.
         """
         factor = self._factors.get((pool, tier), 1)
-        return self._whole_ms(pool, estimate_ms) * factor
+        return self._add_overhead(pool, estimate_ms) * factor
 
     def note(
         self,
         pool: str,
         tier: int,
         estimate_ms: float,
-        came_ms: float,
+        actual_ms: float,
     ) -> None:
-        """Learn from a first event.
+        """Record a first event.
 
         :param pool: name of the pool.
-        :param tier: how urgent the prompt was at its engine.
-        :param estimate_ms: milliseconds as they were estimated by what waited.
-        :param came_ms: milliseconds as they came.
+        :param tier: priority tier of the prompt, 0 the most urgent.
+        :param estimate_ms: milliseconds estimated from the pending tokens.
+        :param actual_ms: actual milliseconds to the first event.
         """
-        super().note(pool, tier, estimate_ms, came_ms)
-        ratio = came_ms / self._whole_ms(pool, estimate_ms)
-        kind = (pool, tier)
-        _keep(self._ratios, kind, ratio)
-        ratios = self._ratios[kind]
-        if len(ratios) >= _NEEDED:
-            median = quantile(ratios, _MEDIAN)
-            self._factors[kind] = min(_MOST, max(_LEAST, median))
-
-    def _whole_ms(self, pool: str, estimate_ms: float) -> float:
-        fixed_ms = self._fixed_time(pool)
-        if fixed_ms is None:
-            fixed_ms = _FIRST_STEP_MS
-        return fixed_ms + estimate_ms
+        super().note(pool, tier, estimate_ms, actual_ms)
+        ratio = actual_ms / self._add_overhead(pool, estimate_ms)
+        key = (pool, tier)
+        _add_ratio(self._ratios, key, ratio)
+        ratios = self._ratios[key]
+        if len(ratios) >= _MIN_SAMPLES:
+            median = quantile(ratios, _MEDIAN_QUANTILE)
+            self._factors[key] = min(_MAX_FACTOR, max(_MIN_FACTOR, median))
+
+    def _add_overhead(self, pool: str, estimate_ms: float) -> float:
+        overhead_ms = self._get_overhead_ms(pool)
+        if overhead_ms is None:
+            overhead_ms = _DEFAULT_OVERHEAD_MS
+        return overhead_ms + estimate_ms
 
 
 class StartEstimatesFactory(Protocol):
-    """How estimates of first events are made."""
+    """Creates estimates of first events."""
 
     def __call__(self, *, fixed_time: FixedTime) -> StartEstimates:
-        """Make them without a first event."""
+        """Create estimates without samples."""
 
 
-def _describe(seen: Collection[float]) -> StartError:
+def _summarize(ratios: Collection[float]) -> StartError:
     return StartError(
-        median=quantile(seen, _MEDIAN),
-        worst_tenth=quantile(seen, _WORST_TENTH),
+        median=quantile(ratios, _MEDIAN_QUANTILE),
+        worst_tenth=quantile(ratios, _WORST_TENTH_QUANTILE),
     )
 
 
-def _keep(
-    seen: dict[_Kind, collections.deque[float]],
-    kind: _Kind,
+def _add_ratio(
+    ratios: dict[_PoolTier, collections.deque[float]],
+    key: _PoolTier,
     ratio: float,
 ) -> None:
-    seen.setdefault(kind, collections.deque(maxlen=_KEPT)).append(ratio)
+    ratios.setdefault(key, collections.deque(maxlen=_MAX_SAMPLES)).append(ratio)
 
 
 start_estimates: Final[Registry[StartEstimatesFactory]] = Registry(
--- a/wingfall/gateway/knowledge/start_figures.py
+++ b/wingfall/gateway/knowledge/start_figures.py
@@ -1,4 +1,4 @@
-"""How far estimates of first events are off, for operators."""
+"""Errors of first event estimates, for the status page and metrics."""
 
 from __future__ import annotations
 
@@ -8,39 +8,39 @@
     from wingfall.gateway.knowledge.start_estimates import StartEstimates
     from wingfall.metrics import Metrics
 
-# Digits of a ratio; the second one tells a part in a hundred.
-_DIGITS: Final = 2
+# Decimal places of a ratio, a resolution of one hundredth.
+_DECIMALS: Final = 2
 
 
 def list_start_errors(starts: StartEstimates) -> list[dict[str, Any]]:
-    """List how far estimates were off.
+    """Return the errors of the estimates.
 
     :param starts: the estimates.
-    :returns: for each pool and tier the first event over its estimate, at the
-        median and in the worst tenth.
+    :returns: for each pool and tier the ratio of the actual to the estimated
+        time, its median and its 90th percentile.
     """
     return [
         {
             'pool': pool,
             'tier': tier,
-            'median': round(error.median, _DIGITS),
-            'worst_tenth': round(error.worst_tenth, _DIGITS),
+            'median': round(error.median, _DECIMALS),
+            'worst_tenth': round(error.worst_tenth, _DECIMALS),
         }
         for (pool, tier), error in sorted(starts.errors.items())
     ]
 
 
 def set_start_errors(metrics: Metrics, starts: StartEstimates) -> None:
-    """Set the metric of how far estimates were off.
+    """Set the metric of the errors of estimates.
 
-    :param metrics: where it stands.
+    :param metrics: the metrics to update.
     :param starts: the estimates.
     """
-    for shown in list_start_errors(starts):
+    for error_stats in list_start_errors(starts):
         for part in ('median', 'worst_tenth'):
             labels = {
-                'pool': shown['pool'],
-                'tier': str(shown['tier']),
+                'pool': error_stats['pool'],
+                'tier': str(error_stats['tier']),
                 'part': part,
             }
-            metrics.start_error.set(labels, shown[part])
+            metrics.start_error.set(labels, error_stats[part])
