--- a/wingfall/gateway/rules/pacing/__init__.py
+++ b/wingfall/gateway/rules/pacing/__init__.py
@@ -1,1 +1,1 @@
-"""How requests are spread over time and over gateways."""
+"""Rules that spread requests over time and over gateways."""
--- a/wingfall/gateway/rules/pacing/pace.py
+++ b/wingfall/gateway/rules/pacing/pace.py
@@ -1,4 +1,4 @@
-"""How requests are spread over time so that a rate is kept, not a burst."""
+"""A token bucket that limits the request rate and the size of bursts."""
 
 from __future__ import annotations
 
@@ -7,76 +7,76 @@
 
 from wingfall.clock import MS_PER_S
 
-# Milliseconds of the rate that are saved up while nothing is sent, so that a
-# gateway whose calls come unevenly uses its part. With the rate itself that
-# stays below the half more that an endpoint bears in four seconds.
-_SAVED_MS: Final = 1500
+# Capacity of the bucket in milliseconds of its rate, so that a gateway whose
+# calls arrive unevenly can use its share. Together with the rate it stays below
+# the 50 % excess that an endpoint tolerates over four seconds.
+_BURST_MS: Final = 1500
 
 
 @final
 class Pace:
-    """A number of requests a second, counted from now on."""
+    """A token bucket with one token per request."""
 
-    __slots__ = ('_at_ms', '_level', '_rate')
+    __slots__ = ('_refilled_ms', '_tokens', '_rate')
 
     def __init__(self, *, rate: float, now_ms: int) -> None:
-        """Start with nothing saved up.
+        """Create an empty bucket.
 
-        What starts full would send at once whenever gateways come to new
-        parts of a limit.
+        A full bucket would send a burst each time that the gateways' shares
+        of a limit change.
 
-        :param rate: requests a second, not negative.
-        :param now_ms: the time.
+        :param rate: requests per second, not negative.
+        :param now_ms: current time in milliseconds.
         """
         self._rate = rate
-        self._level: float = 0
-        self._at_ms = now_ms
+        self._tokens: float = 0
+        self._refilled_ms = now_ms
 
     @property
     def rate(self) -> float:
-        """Requests a second."""
+        """Refill rate in requests per second."""
         return self._rate
 
     def change(self, rate: float, now_ms: int) -> None:
-        """Go on with another rate.
+        """Set another rate.
 
-        :param rate: requests a second.
-        :param now_ms: the time.
+        :param rate: requests per second, not negative.
+        :param now_ms: current time in milliseconds.
         """
         if rate == self._rate:
             return
-        self._fill(now_ms)
+        self._refill(now_ms)
         self._rate = rate
-        self._level = min(self._level, self._most())
+        self._tokens = min(self._tokens, self._capacity())
 
     def ready_in_ms(self, now_ms: int) -> float:
-        """Tell when the next request may be sent.
+        """Return the time until the next request may be sent.
 
-        :param now_ms: the time.
-        :returns: milliseconds from now, infinite without a rate.
+        :param now_ms: current time in milliseconds.
+        :returns: milliseconds from now, infinite if the rate is zero.
         """
-        self._fill(now_ms)
+        self._refill(now_ms)
         if not self._rate:
             return math.inf
-        return max(0, 1 - self._level) / self._rate * MS_PER_S
+        return max(0, 1 - self._tokens) / self._rate * MS_PER_S
 
     def take(self, now_ms: int) -> bool:
-        """Count a request that is about to be sent.
+        """Consume a token for a request that is about to be sent.
 
-        :param now_ms: the time.
-        :returns: whether it may be.
+        :param now_ms: current time in milliseconds.
+        :returns: whether a token was available.
         """
         if self.ready_in_ms(now_ms) > 0:
             return False
-        self._level -= 1
+        self._tokens -= 1
         return True
 
-    def _fill(self, now_ms: int) -> None:
-        gained = (now_ms - self._at_ms) * self._rate / MS_PER_S
-        self._level = min(self._most(), self._level + gained)
-        self._at_ms = now_ms
+    def _refill(self, now_ms: int) -> None:
+        gained = (now_ms - self._refilled_ms) * self._rate / MS_PER_S
+        self._tokens = min(self._capacity(), self._tokens + gained)
+        self._refilled_ms = now_ms
 
-    def _most(self) -> float:
+    def _capacity(self) -> float:
         if not self._rate:
             return 0
-        return max(1, self._rate * _SAVED_MS / MS_PER_S)
+        return max(1, self._rate * _BURST_MS / MS_PER_S)
--- a/wingfall/gateway/rules/pacing/rate_share.py
+++ b/wingfall/gateway/rules/pacing/rate_share.py
@@ -1,11 +1,11 @@
-"""Which part of an endpoint's limit a gateway may use: pure rules.
-
-An endpoint in need takes a few requests a second from all gateways together.
-Many gateways see the same endpoint free at the same moment: where each sends
-one, a limit of one a second is passed by a site of a dozen. Where each has an
-equal part, it is next to nothing at many gateways, so that the limit is broken
-by everyone's first request or not used. So few gateways use a small limit, the
-same few for all who hear each other, and the others send elsewhere.
+"""Rules that divide an endpoint's rate limit between gateways.
+
+An overloaded endpoint accepts a few requests per second from all gateways
+together. Many gateways see the same endpoint free at the same moment: if each
+sends one request, a dozen gateways exceed a limit of one per second. An equal
+share is close to zero at many gateways, so that the first request of each
+exceeds the limit, or the limit stays unused. So only a few gateways use a small
+limit, the same few for all connected gateways; the others send elsewhere.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-# Requests a second below which a part of a limit is not split further: its
-# gateway would have a request for the endpoint at hand too rarely to use it.
-_LEAST_PART: Final = 0.5
-# Bytes of the number by which gateways are ranked for an endpoint.
+# Smallest share in requests per second: with a smaller one, a gateway would
+# rarely have a request for the endpoint at the right time to use the share.
+_MIN_SHARE: Final = 0.5
+# Size of the hash by which gateways are selected for an endpoint.
 _RANK_BYTES: Final = 8
 
 RateShare = Callable[['ShareTerms'], float]
@@ -31,7 +31,7 @@
 
 @final
 class ShareTerms:
-    """Who may send to an endpoint, and how much it takes of all."""
+    """An endpoint's rate limit and the gateways that share it."""
 
     __slots__ = ('endpoint', 'gateways', 'known', 'name', 'rate')
 
@@ -44,14 +44,14 @@
         gateways: Collection[str],
         known: int = 0,
     ) -> None:
-        """Describe an endpoint's limit.
+        """Create the terms for one endpoint.
 
         :param endpoint: name of the endpoint.
-        :param rate: requests a second that it takes from all gateways.
+        :param rate: limit in requests per second for all gateways together.
         :param name: name of this gateway.
-        :param gateways: names of the gateways that are heard, this one among
-            them.
-        :param known: how many gateways there may be, with those not heard.
+        :param gateways: names of the connected gateways and of this one.
+        :param known: highest possible number of gateways, including the
+            unreachable ones.
         """
         self.endpoint = endpoint
         self.rate = rate
@@ -62,34 +62,34 @@
 
 @rate_shares.register('few_gateways')
 def share_among_few(terms: ShareTerms) -> float:
-    """Have no more gateways use a limit than its parts are worth having.
+    """Divide a limit between as many gateways as the smallest share allows.
 
-    :param terms: the endpoint and the gateways.
-    :returns: requests a second that this gateway may send.
+    :param terms: the endpoint's limit and the gateways.
+    :returns: this gateway's share in requests per second.
     """
-    parts = int(terms.rate / _LEAST_PART)
-    users = max(1, min(terms.known, parts))
+    max_users = int(terms.rate / _MIN_SHARE)
+    users = max(1, min(terms.known, max_users))
     if users < len(terms.gateways):
-        ranked = heapq.nsmallest(
+        selected = heapq.nsmallest(
             users,
             terms.gateways,
             key=lambda gateway: _rank(terms.endpoint, gateway),
         )
-        if terms.name not in ranked:
+        if terms.name not in selected:
             return 0
     return terms.rate / users
 
 
 @rate_shares.register('equal')
 def share_equally(terms: ShareTerms) -> float:
-    """Give each gateway the same part, as the baseline.
+    """Divide a limit equally between all gateways, as a baseline.
 
-    :param terms: the endpoint and the gateways.
-    :returns: requests a second that this gateway may send.
+    :param terms: the endpoint's limit and the gateways.
+    :returns: this gateway's share in requests per second.
     """
     return terms.rate / terms.known
 
 
 def _rank(endpoint: str, gateway: str) -> bytes:
-    named = f'{endpoint} {gateway}'.encode()
-    return hashlib.blake2b(named, digest_size=_RANK_BYTES).digest()
+    key = f'{endpoint} {gateway}'.encode()
+    return hashlib.blake2b(key, digest_size=_RANK_BYTES).digest()
--- a/wingfall/gateway/rules/pacing/rest_return.py
+++ b/wingfall/gateway/rules/pacing/rest_return.py
@@ -1,8 +1,7 @@
-"""How calls come back to an endpoint after the rest that it asked for.
+"""Gradual ramp-up of calls to an endpoint after a rest that it asked for.
 
-All that waited would come at the moment at which the rest ends, of all calls
-and all gateways that were told the same, and the endpoint would turn them away
-again.
+Without it, all waiting calls of all gateways with the same rest would arrive at
+the moment at which the rest ends, and the endpoint would reject them again.
 """
 
 from __future__ import annotations
@@ -13,68 +12,68 @@
 from wingfall.clock import MS_PER_S
 from wingfall.gateway.rules.pacing.pace import Pace
 
-# Milliseconds after the end of a rest over which gateways return, each at a
-# moment of its own.
-_SPREAD_MS: Final = 250
-# Requests a second that a gateway sends at first, and for how many
-# milliseconds.
+# Milliseconds after the end of a rest over which the gateways' first requests
+# are spread.
+_MAX_JITTER_MS: Final = 250
+# Requests per second that a gateway sends during the ramp-up, and the duration
+# of the ramp-up in milliseconds.
 RETURN_RATE: Final = 5
-_RETURN_MS: Final = 1000
-# Bytes of the number that a gateway's moment is drawn by.
-_DRAW_BYTES: Final = 4
+_RAMP_UP_MS: Final = 1000
+# Size of the hash from which a gateway's jitter is computed.
+_HASH_BYTES: Final = 4
 
 
 def draw_part(gateway: str, endpoint: str) -> float:
-    """Draw a gateway's place among all that return to an endpoint.
+    """Return a gateway's jitter for an endpoint.
 
-    :param gateway: its name.
+    :param gateway: name of the gateway.
     :param endpoint: name of the endpoint.
-    :returns: from 0 to 1, always the same for these two.
+    :returns: fraction from 0 to 1, always the same for the same two names.
     """
-    named = f'{endpoint} {gateway}'.encode()
-    digest = hashlib.blake2b(named, digest_size=_DRAW_BYTES).digest()
-    return int.from_bytes(digest) / 2 ** (8 * _DRAW_BYTES)
+    key = f'{endpoint} {gateway}'.encode()
+    digest = hashlib.blake2b(key, digest_size=_HASH_BYTES).digest()
+    return int.from_bytes(digest) / 2 ** (8 * _HASH_BYTES)
 
 
 @final
 class RestReturn:
-    """The way back to one endpoint after one rest."""
+    """The ramp-up of requests to one endpoint after one rest."""
 
-    __slots__ = ('_pace', 'open_ms', 'until_ms')
+    __slots__ = ('_bucket', 'start_ms', 'until_ms')
 
     def __init__(self, *, until_ms: int, part: float) -> None:
-        """Plan the way back.
+        """Create the ramp-up for one rest.
 
-        :param until_ms: when the rest ends.
-        :param part: this gateway's place among all that return.
+        :param until_ms: time at which the rest ends, in milliseconds.
+        :param part: this gateway's jitter, from 0 to 1.
         """
         self.until_ms = until_ms
-        # When the first request may be sent.
-        self.open_ms = until_ms + int(part * _SPREAD_MS)
-        first_ms = self.open_ms - MS_PER_S // RETURN_RATE
-        self._pace = Pace(rate=RETURN_RATE, now_ms=first_ms)
+        # Time at which the first request may be sent.
+        self.start_ms = until_ms + int(part * _MAX_JITTER_MS)
+        refill_start_ms = self.start_ms - MS_PER_S // RETURN_RATE
+        self._bucket = Pace(rate=RETURN_RATE, now_ms=refill_start_ms)
 
     def is_over(self, now_ms: int) -> bool:
-        """Tell whether all may be sent again.
+        """Check if the ramp-up has ended.
 
-        :param now_ms: the time.
-        :returns: whether the endpoint is fully back.
+        :param now_ms: current time in milliseconds.
+        :returns: whether requests may be sent without a limit again.
         """
-        return now_ms >= self.open_ms + _RETURN_MS
+        return now_ms >= self.start_ms + _RAMP_UP_MS
 
     def ready_in_ms(self, now_ms: int) -> float:
-        """Tell when the next request may be sent.
+        """Return the time until the next request may be sent.
 
-        :param now_ms: the time.
+        :param now_ms: current time in milliseconds.
         :returns: milliseconds from now.
         """
-        if now_ms < self.open_ms:
-            return self.open_ms - now_ms
-        return self._pace.ready_in_ms(now_ms)
+        if now_ms < self.start_ms:
+            return self.start_ms - now_ms
+        return self._bucket.ready_in_ms(now_ms)
 
     def take(self, now_ms: int) -> None:
-        """Count a request that is about to be sent.
+        """Record a request that is about to be sent.
 
-        :param now_ms: the time.
+        :param now_ms: current time in milliseconds.
         """
-        self._pace.take(now_ms)
+        self._bucket.take(now_ms)
