--- a/tests/test_endpoint_signals.py
+++ b/tests/test_endpoint_signals.py
@@ -1,4 +1,4 @@
-"""What is known of endpoints' limits and leavings, in any order of news."""
+"""Tests of stored endpoint signals with updates in any order."""
 
 from __future__ import annotations
 
@@ -15,18 +15,20 @@
 
 @pytest.fixture
 def clock() -> ManualClock:
-    """Give a clock that stands at a second."""
+    """Return a manual clock set to one second."""
     return ManualClock(start_ms=1000)
 
 
 @pytest.fixture
-def known(clock: ManualClock) -> EndpointSignals:
-    """Give what is known of endpoints, nothing yet."""
+def signals(clock: ManualClock) -> EndpointSignals:
+    """Return an empty store of endpoint signals."""
     return EndpointSignals(name='g1', clock=clock)
 
 
-def said(rate: float | None, sent_ms: int, heard_ms: int) -> EndpointLimit:
-    """Describe what an answer said of a limit."""
+def make_limit(
+    rate: float | None, sent_ms: int, heard_ms: int
+) -> EndpointLimit:
+    """Return a limit received from an answer."""
     return EndpointLimit(
         rate=rate,
         sent_ms=sent_ms,
@@ -37,49 +39,49 @@
 
 
 def test_limit_holds_until_a_later_answer_names_none(
-    known: EndpointSignals, clock: ManualClock
+    signals: EndpointSignals, clock: ManualClock
 ):
-    named = known.note_answer(ENDPOINT, AnswerSignals(rate=2), 900)
+    named = signals.note_answer(ENDPOINT, AnswerSignals(rate=2), 900)
     assert named == [SignalChange.limit_named]
-    assert not known.note_answer(ENDPOINT, AnswerSignals(rate=2), 950)
+    assert not signals.note_answer(ENDPOINT, AnswerSignals(rate=2), 950)
     clock.advance(10)
-    ended = known.note_answer(ENDPOINT, AnswerSignals(), 1005)
+    ended = signals.note_answer(ENDPOINT, AnswerSignals(), 1005)
     assert ended == [SignalChange.limit_ended]
-    assert known.limits[ENDPOINT].rate is None
+    assert signals.limits[ENDPOINT].rate is None
 
 
 def test_answer_that_was_overtaken_ends_no_limit(
-    known: EndpointSignals, clock: ManualClock
+    signals: EndpointSignals, clock: ManualClock
 ):
-    known.note_answer(ENDPOINT, AnswerSignals(rate=2), 900)
+    signals.note_answer(ENDPOINT, AnswerSignals(rate=2), 900)
     clock.advance(10)
-    # Its request was sent before the limit was heard, its head came after.
-    assert not known.note_answer(ENDPOINT, AnswerSignals(), 990)
-    assert known.limits[ENDPOINT].rate == 2
+    # The request was sent before the limit arrived, its answer came after.
+    assert not signals.note_answer(ENDPOINT, AnswerSignals(), 990)
+    assert signals.limits[ENDPOINT].rate == 2
 
 
 def test_of_two_answers_whose_order_is_unknown_the_lower_limit_holds():
     for first, second in (
-        (said(5, 0, 10), said(1, 5, 15)),
-        (said(1, 0, 10), said(5, 5, 15)),
-        (said(1, 5, 15), said(None, 0, 20)),
+        (make_limit(5, 0, 10), make_limit(1, 5, 15)),
+        (make_limit(1, 0, 10), make_limit(5, 5, 15)),
+        (make_limit(1, 5, 15), make_limit(None, 0, 20)),
     ):
         assert choose_newer(first, second).rate == 1
         assert choose_newer(second, first).rate == 1
 
 
 def test_of_two_answers_one_after_the_other_the_later_holds():
-    before, after = said(1, 0, 10), said(5, 11, 20)
+    before, after = make_limit(1, 0, 10), make_limit(5, 11, 20)
     assert choose_newer(before, after) is after
     assert choose_newer(after, before) is after
 
 
-def test_what_can_not_be_read_changes_no_limit(known: EndpointSignals):
-    known.note_answer(ENDPOINT, AnswerSignals(rate=2), 900)
+def test_what_can_not_be_read_changes_no_limit(signals: EndpointSignals):
+    signals.note_answer(ENDPOINT, AnswerSignals(rate=2), 900)
     unreadable = AnswerSignals(faults=('server-limit: many',))
-    changes = known.note_answer(ENDPOINT, unreadable, 1100)
+    changes = signals.note_answer(ENDPOINT, unreadable, 1100)
     assert changes == [SignalChange.unreadable]
-    assert known.limits[ENDPOINT].rate == 2
+    assert signals.limits[ENDPOINT].rate == 2
 
 
 def test_gateways_that_know_the_same_have_the_same_sum(clock: ManualClock):
@@ -95,37 +97,37 @@
 
 
 def test_endpoint_that_is_listed_keeps_its_limit(
-    known: EndpointSignals, clock: ManualClock
+    signals: EndpointSignals, clock: ManualClock
 ):
     for name in (ENDPOINT, 'gone'):
-        known.note_answer(name, AnswerSignals(rate=2, leaving=True), 900)
+        signals.note_answer(name, AnswerSignals(rate=2, leaving=True), 900)
     clock.advance(61_000)
-    known.forget({ENDPOINT})
-    assert set(known.limits) == {ENDPOINT}
-    assert set(known.leaving) == {ENDPOINT}
+    signals.forget({ENDPOINT})
+    assert set(signals.limits) == {ENDPOINT}
+    assert set(signals.leaving) == {ENDPOINT}
 
 
 def test_rest_lasts_as_long_as_the_longest_that_was_asked(
-    known: EndpointSignals, clock: ManualClock
+    signals: EndpointSignals, clock: ManualClock
 ):
-    asked = known.note_answer(ENDPOINT, AnswerSignals(rest_ms=3000), 900)
+    asked = signals.note_answer(ENDPOINT, AnswerSignals(rest_ms=3000), 900)
     assert asked == [SignalChange.rest]
-    assert not known.note_answer(ENDPOINT, AnswerSignals(rest_ms=1000), 900)
+    assert not signals.note_answer(ENDPOINT, AnswerSignals(rest_ms=1000), 900)
     clock.advance(2000)
-    # A good answer meanwhile doesn't end it.
-    known.note_answer(ENDPOINT, AnswerSignals(), 2900)
+    # A successful answer does not end the rest.
+    signals.note_answer(ENDPOINT, AnswerSignals(), 2900)
     clock.advance(999)
-    assert known.rests.is_resting(ENDPOINT)
+    assert signals.rests.is_resting(ENDPOINT)
     clock.advance(1)
-    assert not known.rests.is_resting(ENDPOINT)
+    assert not signals.rests.is_resting(ENDPOINT)
 
 
 def test_what_is_remembered_is_bounded(
-    known: EndpointSignals, clock: ManualClock
+    signals: EndpointSignals, clock: ManualClock
 ):
-    signals = AnswerSignals(rate=2, leaving=True, rest_ms=5000)
+    answer = AnswerSignals(rate=2, leaving=True, rest_ms=5000)
     for number in range(20_000):
-        known.note_answer(f'endpoint-{number}', signals, 900)
-    assert len(known.limits) <= 16_384
-    assert len(known.leaving) <= 16_384
-    assert len(known.rests.until_ms) <= 16_384
+        signals.note_answer(f'endpoint-{number}', answer, 900)
+    assert len(signals.limits) <= 16_384
+    assert len(signals.leaving) <= 16_384
+    assert len(signals.rests.until_ms) <= 16_384
--- a/wingfall/gateway/knowledge/endpoint_rests.py
+++ b/wingfall/gateway/knowledge/endpoint_rests.py
@@ -1,7 +1,7 @@
-"""Until when endpoints want nothing from this gateway.
+"""Rests: periods in which endpoints want no requests from this gateway.
 
-An endpoint that turns a request away may ask for rest. It asks the gateway that
-it turned away, and no other.
+An endpoint that rejects a request may ask for rest. The rest applies only to
+the gateway whose request was rejected.
 """
 
 from __future__ import annotations
@@ -13,50 +13,52 @@
 if TYPE_CHECKING:
     from wingfall.clock import Clock
 
-# Milliseconds after its end for which a rest is remembered: its endpoint is
-# returned to step by step.
-_REMEMBERED_MS: Final = 10_000
-# Endpoints whose rest is remembered: over 12,000, the size in two years.
-_MOST_REMEMBERED: Final = 16_384
+# Milliseconds for which a rest is retained after its end, since requests to its
+# endpoint are ramped up gradually.
+_RETENTION_MS: Final = 10_000
+# Maximum number of stored rests, above the 12,000 endpoints expected in two
+# years.
+_MAX_ENDPOINTS: Final = 16_384
 
 
 @final
 class EndpointRests:
-    """When the rest of each endpoint ends."""
+    """The end of the rest of each endpoint."""
 
     __slots__ = ('_clock', '_until_ms')
 
     def __init__(self, *, clock: Clock) -> None:
-        """Start with none at rest.
+        """Create an empty store.
 
-        :param clock: the time.
+        :param clock: clock for the ends of rests.
         """
         self._clock = clock
         self._until_ms: dict[str, int] = {}
 
     @property
     def until_ms(self) -> dict[str, int]:
-        """When rests end, by endpoint; must not be changed."""
+        """End of rests in milliseconds by endpoint; must not be changed."""
         return self._until_ms
 
     @property
     def names(self) -> list[str]:
-        """Names of the endpoints that rest now."""
+        """Sorted names of the endpoints that are resting now."""
         return sorted(filter(self.is_resting, self._until_ms))
 
     def note(self, endpoint: str, rest_ms: int | None) -> bool:
-        """Note what an answer says of rest.
+        """Record the rest that an answer asks for.
 
         :param endpoint: name of the endpoint.
-        :param rest_ms: for how long it wants nothing, None if it said nothing.
-        :returns: whether the endpoint rests longer by it.
+        :param rest_ms: duration of the rest in milliseconds, None if the
+            answer asks for none.
+        :returns: whether the rest of the endpoint was started or extended.
         """
         if not rest_ms:
             return False
         until_ms = self._clock.now_ms() + rest_ms
         if until_ms <= self._until_ms.get(endpoint, 0):
             return False
-        if len(self._until_ms) >= _MOST_REMEMBERED:
+        if len(self._until_ms) >= _MAX_ENDPOINTS:
             self._until_ms.pop(next(iter(self._until_ms)))
         self._until_ms[endpoint] = until_ms
         log_event(
@@ -68,16 +70,16 @@
         return True
 
     def is_resting(self, endpoint: str) -> bool:
-        """Tell whether an endpoint wants nothing now.
+        """Check if an endpoint is resting now.
 
-        :param endpoint: its name.
-        :returns: whether it rests.
+        :param endpoint: name of the endpoint.
+        :returns: whether the endpoint wants no requests.
         """
         return self._until_ms.get(endpoint, 0) > self._clock.now_ms()
 
     def forget(self) -> None:
-        """Forget the rests that have been over for a while."""
-        oldest_ms = self._clock.now_ms() - _REMEMBERED_MS
+        """Remove the rests whose retention period is over."""
+        oldest_ms = self._clock.now_ms() - _RETENTION_MS
         self._until_ms = {
             name: until_ms
             for name, until_ms in self._until_ms.items()
--- a/wingfall/gateway/knowledge/endpoint_signals.py
+++ b/wingfall/gateway/knowledge/endpoint_signals.py
@@ -1,9 +1,9 @@
-"""What endpoints have said of themselves: limits, rests, that they leave.
+"""Signals of endpoints about themselves: rate limits, rests and leaving.
 
-Owns the newest of each. A limit and a leaving hold for all gateways, which tell
-each other what they have heard; a rest is asked of one gateway and stays there
-(:mod:`wingfall.gateway.knowledge.endpoint_rests`). All stands under the name of
-an incarnation, so that an endpoint that starts again has said nothing yet.
+Owns the newest signal of each kind. Limits and leaving apply to all gateways,
+which report them to each other; a rest applies only to the gateway that was
+asked for it (:mod:`wingfall.gateway.knowledge.endpoint_rests`). Signals are
+stored by the name of the incarnation, so that a restarted endpoint has none.
 """
 
 from __future__ import annotations
@@ -26,22 +26,22 @@
     from wingfall.clock import Clock
     from wingfall.gateway.model.answer_signals import AnswerSignals
 
-# Milliseconds for which it is compared with what peers know, and kept of an
-# endpoint that isn't listed: an entry may lapse and come back.
-_REMEMBERED_MS: Final = 60_000
-# Endpoints of which something is remembered: over 12,000, the size in two
-# years. Beyond that the one heard of first goes.
-_MOST_REMEMBERED: Final = 16_384
-# Milliseconds after which the number by which gateways compare what they know
-# is worked out again without a change.
-_SUM_EVERY_MS: Final = 1000
-# Bytes of that number.
-_SUM_BYTES: Final = 8
+# Milliseconds for which a signal is part of the digest, and is retained for an
+# endpoint that is not listed: an entry may lapse and be written again.
+_RETENTION_MS: Final = 60_000
+# Maximum number of endpoints with a stored signal, above the 12,000 endpoints
+# expected in two years. Beyond it, the entry that was added first is dropped.
+_MAX_ENDPOINTS: Final = 16_384
+# Milliseconds after which the digest is computed again without a change, since
+# entries expire.
+_DIGEST_TTL_MS: Final = 1000
+# Size of the digest.
+_DIGEST_BYTES: Final = 8
 
 
 @final
 class EndpointSignals:
-    """The limits, rests and leavings of endpoints."""
+    """The newest limits, rests and leaving signals of all endpoints."""
 
     __slots__ = (
         '_clock',
@@ -49,63 +49,63 @@
         '_leaving',
         '_limits',
         '_name',
-        '_sum',
-        '_sum_ms',
-        '_untold',
+        '_digest',
+        '_digest_ms',
+        '_unreported',
         'news',
         'rests',
     )
 
     def __init__(self, *, name: str, clock: Clock) -> None:
-        """Start with nothing said.
+        """Create an empty store.
 
         :param name: name of this gateway.
-        :param clock: the time.
+        :param clock: clock for the times of signals.
         """
         self._name = name
         self._clock = clock
-        # Limits, and for a while those that have ended.
+        # Current limits, and recently ended ones with a rate of None.
         self._limits: dict[str, EndpointLimit] = {}
         self._leaving: dict[str, EndpointLeaving] = {}
-        # Endpoints of which peers have not heard the newest.
-        self._untold: set[str] = set()
+        # Endpoints whose newest signals have not been reported to peers.
+        self._unreported: set[str] = set()
         self._faults = SignalFaults(clock=clock)
-        # The number of what is known, None once that has changed.
-        self._sum: int | None = None
-        self._sum_ms = 0
-        # Set while there is something that peers have not heard.
+        # Cached digest, None after a change.
+        self._digest: int | None = None
+        self._digest_ms = 0
+        # Set while there are signals that have not been reported to peers.
         self.news = Event()
         self.rests = EndpointRests(clock=clock)
 
     @property
     def limits(self) -> dict[str, EndpointLimit]:
-        """Limits by endpoint, ended ones among them; must not be changed."""
+        """Limits by endpoint, including ended ones; must not be changed."""
         return self._limits
 
     @property
     def leaving(self) -> dict[str, EndpointLeaving]:
-        """Endpoints that are leaving; must not be changed."""
+        """Leaving signals by endpoint; must not be changed."""
         return self._leaving
 
     @property
     def recent_sum(self) -> int:
-        """A number that is the same for gateways that know the same.
+        """Digest that is equal for gateways with equal recent signals.
 
-        Each heartbeat asks for it, so it is worked out again only after a
-        change, or when what it stands for may have grown old.
+        Each heartbeat contains the digest, so it is cached, and computed again
+        only after a change or when entries may have expired.
         """
         now_ms = self._clock.now_ms()
-        if self._sum is None or now_ms - self._sum_ms >= _SUM_EVERY_MS:
-            self._sum = self._work_out_sum()
-            self._sum_ms = now_ms
-        return self._sum
+        if self._digest is None or now_ms - self._digest_ms >= _DIGEST_TTL_MS:
+            self._digest = self._compute_digest()
+            self._digest_ms = now_ms
+        return self._digest
 
     def recent(self) -> set[str]:
-        """List the endpoints that are compared with what peers know.
+        """Return the endpoints that are part of the digest.
 
-        :returns: names of those of which something changed lately.
+        :returns: names of the endpoints whose signals changed recently.
         """
-        oldest_ms = self._clock.now_ms() - _REMEMBERED_MS
+        oldest_ms = self._clock.now_ms() - _RETENTION_MS
         recent = {
             name
             for name, limit in self._limits.items()
@@ -124,12 +124,12 @@
         signals: AnswerSignals,
         sent_ms: int,
     ) -> list[SignalChange]:
-        """Note what the head of an answer says.
+        """Record the signals in the head of an answer.
 
         :param endpoint: name of the endpoint that answered.
-        :param signals: what it said of itself.
-        :param sent_ms: when the request was sent.
-        :returns: what has changed by it.
+        :param signals: signals of the endpoint in the answer.
+        :param sent_ms: time at which the request was sent, in milliseconds.
+        :returns: the changes that the signals caused.
         """
         changes = []
         if signals.faults:
@@ -139,47 +139,48 @@
             changes += self._note_limit(endpoint, signals.rate, sent_ms)
         if signals.leaving and endpoint not in self._leaving:
             changes.append(SignalChange.leaving)
-            self._set_leaving(endpoint, self._clock.now_ms(), self._name)
-            self._tell(endpoint)
+            self._add_leaving(endpoint, self._clock.now_ms(), self._name)
+            self._mark_unreported(endpoint)
         if self.rests.note(endpoint, signals.rest_ms):
             changes.append(SignalChange.rest)
         return changes
 
-    def take_limit(self, endpoint: str, told: EndpointLimit) -> None:
-        """Take a limit that a peer tells, or the end of one.
+    def take_limit(self, endpoint: str, reported: EndpointLimit) -> None:
+        """Merge a limit, or its end, that a peer reported.
 
         :param endpoint: name of the endpoint.
-        :param told: what the peer tells, times by this gateway's clock.
+        :param reported: limit from the peer, with times of this gateway's
+            clock.
         """
-        # Also an end of which no beginning was heard: old news of the limit may
-        # come after it.
-        self._set_limit(endpoint, told)
+        # The end of an unknown limit is stored too, since an older report of
+        # the limit may arrive after it.
+        self._merge_limit(endpoint, reported)
 
-    def take_leaving(self, endpoint: str, told: EndpointLeaving) -> None:
-        """Take an endpoint's leaving that a peer tells.
+    def take_leaving(self, endpoint: str, reported: EndpointLeaving) -> None:
+        """Merge a leaving signal that a peer reported.
 
         :param endpoint: name of the endpoint.
-        :param told: what the peer tells.
+        :param reported: leaving signal from the peer.
         """
         if endpoint not in self._leaving:
-            self._set_leaving(endpoint, told.heard_ms, told.told_by)
+            self._add_leaving(endpoint, reported.heard_ms, reported.told_by)
 
     def take_untold(self) -> set[str]:
-        """Take the endpoints of which peers have not heard the newest.
+        """Return and clear the endpoints with unreported signals.
 
-        :returns: their names.
+        :returns: names of the endpoints.
         """
-        untold = self._untold
-        self._untold = set()
+        unreported = self._unreported
+        self._unreported = set()
         self.news.clear()
-        return untold
+        return unreported
 
     def forget(self, listed: Collection[str]) -> None:
-        """Forget what is over, and endpoints that are gone for a while.
+        """Remove expired signals, and those of endpoints that left.
 
-        :param listed: names of the endpoints that are listed.
+        :param listed: names of the listed endpoints.
         """
-        oldest_ms = self._clock.now_ms() - _REMEMBERED_MS
+        oldest_ms = self._clock.now_ms() - _RETENTION_MS
         self.rests.forget()
         self._limits = {
             name: limit
@@ -203,66 +204,66 @@
         if rate is None and (known is None or known.rate is None):
             return []
         now_ms = self._clock.now_ms()
-        said = EndpointLimit(
+        limit = EndpointLimit(
             rate=rate,
             sent_ms=sent_ms,
             heard_ms=now_ms,
             changed_ms=now_ms,
             told_by=self._name,
         )
-        if not self._set_limit(endpoint, said):
+        if not self._merge_limit(endpoint, limit):
             return []
-        self._tell(endpoint)
+        self._mark_unreported(endpoint)
         ended = rate is None
         change = SignalChange.limit_ended if ended else SignalChange.limit_named
         return [change]
 
-    def _work_out_sum(self) -> int:
+    def _compute_digest(self) -> int:
         combined = 0
         for name in self.recent():
             limit = self._limits.get(name)
             rate = limit.rate if limit else None
-            combined ^= _digest(name, rate, name in self._leaving)
+            combined ^= _hash_entry(name, rate, name in self._leaving)
         return combined
 
-    def _set_limit(self, endpoint: str, told: EndpointLimit) -> bool:
+    def _merge_limit(self, endpoint: str, reported: EndpointLimit) -> bool:
         known = self._limits.get(endpoint)
-        kept = told if known is None else choose_newer(known, told)
-        if kept is known:
+        newer = reported if known is None else choose_newer(known, reported)
+        if newer is known:
             return False
-        if known is not None and known.rate == kept.rate:
-            # Said again: only how late it was said has changed.
-            kept.changed_ms = min(known.changed_ms, kept.changed_ms)
-        _put(self._limits, endpoint, kept)
-        if known is not None and known.rate == kept.rate:
+        if known is not None and known.rate == newer.rate:
+            # The same rate was signalled again: only the other times change.
+            newer.changed_ms = min(known.changed_ms, newer.changed_ms)
+        _put(self._limits, endpoint, newer)
+        if known is not None and known.rate == newer.rate:
             return False
-        self._sum = None
-        if known is None and kept.rate is None:
+        self._digest = None
+        if known is None and newer.rate is None:
             return False
         sentence = 'An endpoint names a limit.'
-        if kept.rate is None:
+        if newer.rate is None:
             sentence = 'An endpoint names no limit any more.'
-        self._log(
+        self._log_signal(
             sentence,
             endpoint,
-            kept.told_by,
-            kept.heard_ms,
-            rate=kept.rate,
+            newer.told_by,
+            newer.heard_ms,
+            rate=newer.rate,
             before=known.rate if known else None,
         )
         return True
 
-    def _set_leaving(self, endpoint: str, heard_ms: int, told_by: str) -> None:
+    def _add_leaving(self, endpoint: str, heard_ms: int, told_by: str) -> None:
         leaving = EndpointLeaving(heard_ms=heard_ms, told_by=told_by)
         _put(self._leaving, endpoint, leaving)
-        self._sum = None
-        self._log('An endpoint is leaving.', endpoint, told_by, heard_ms)
+        self._digest = None
+        self._log_signal('An endpoint is leaving.', endpoint, told_by, heard_ms)
 
-    def _tell(self, endpoint: str) -> None:
-        self._untold.add(endpoint)
+    def _mark_unreported(self, endpoint: str) -> None:
+        self._unreported.add(endpoint)
         self.news.set()
 
-    def _log(
+    def _log_signal(
         self,
         sentence: str,
         endpoint: str,
@@ -281,11 +282,11 @@
 
 
 def _put(known: dict[str, Any], endpoint: str, entry: Any) -> None:
-    if endpoint not in known and len(known) >= _MOST_REMEMBERED:
+    if endpoint not in known and len(known) >= _MAX_ENDPOINTS:
         known.pop(next(iter(known)))
     known[endpoint] = entry
 
 
-def _digest(*words: object) -> int:
-    digest = hashlib.blake2b(repr(words).encode(), digest_size=_SUM_BYTES)
+def _hash_entry(*words: object) -> int:
+    digest = hashlib.blake2b(repr(words).encode(), digest_size=_DIGEST_BYTES)
     return int.from_bytes(digest.digest(), 'big')
--- a/wingfall/gateway/knowledge/signal_faults.py
+++ b/wingfall/gateway/knowledge/signal_faults.py
@@ -1,4 +1,4 @@
-"""Logs what endpoints say of themselves and can't be read, now and then."""
+"""Rate-limited log of endpoint signals that cannot be parsed."""
 
 from __future__ import annotations
 
@@ -9,38 +9,38 @@
 if TYPE_CHECKING:
     from wingfall.clock import Clock
 
-# Milliseconds between two log lines on one endpoint: it may say so in each
-# answer.
-_EVERY_MS: Final = 10_000
-# Endpoints of which it is remembered when they were logged.
-_MOST_REMEMBERED: Final = 1024
+# Minimum milliseconds between two log lines on one endpoint, since each of its
+# answers may contain the fault.
+_LOG_INTERVAL_MS: Final = 10_000
+# Maximum number of endpoints whose last log time is stored.
+_MAX_ENDPOINTS: Final = 1024
 
 
 @final
 class SignalFaults:
-    """When what an endpoint said was last logged."""
+    """The time of the last logged fault of each endpoint."""
 
     __slots__ = ('_clock', '_logged_ms')
 
     def __init__(self, *, clock: Clock) -> None:
-        """Start with nothing logged.
+        """Create an empty log state.
 
-        :param clock: the time.
+        :param clock: clock for the times of log lines.
         """
         self._clock = clock
         self._logged_ms: dict[str, int] = {}
 
     def note(self, endpoint: str, faults: tuple[str, ...]) -> None:
-        """Log it, if nothing was logged of the endpoint for a while.
+        """Log faults unless the endpoint was logged recently.
 
         :param endpoint: name of the endpoint.
-        :param faults: the headers as they were, cut to what a line bears.
+        :param faults: the invalid headers, truncated to fit a log line.
         """
         now_ms = self._clock.now_ms()
         logged_ms = self._logged_ms.get(endpoint)
-        if logged_ms is not None and now_ms - logged_ms < _EVERY_MS:
+        if logged_ms is not None and now_ms - logged_ms < _LOG_INTERVAL_MS:
             return
-        if len(self._logged_ms) >= _MOST_REMEMBERED:
+        if len(self._logged_ms) >= _MAX_ENDPOINTS:
             self._logged_ms.pop(next(iter(self._logged_ms)))
         self._logged_ms.pop(endpoint, None)
         self._logged_ms[endpoint] = now_ms
