--- a/tests/test_endpoint_health.py
+++ b/tests/test_endpoint_health.py
@@ -1,4 +1,4 @@
-"""What endpoints do, and how long it counts."""
+"""Tests of ejections, failure rates and their decay."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
     health = EndpointHealth(clock=clock)
     for _failure in range(5):
         health.note_failure('one')
-    failing = health.failing('one')
-    assert round(failing * 10) == 7
+    failure_rate = health.failing('one')
+    assert round(failure_rate * 10) == 7
     clock.advance(5000)
-    assert math.isclose(health.failing('one'), failing / 2)
+    assert math.isclose(health.failing('one'), failure_rate / 2)
     assert not health.failing('two')
 
 
@@ -58,25 +58,25 @@
 
 
 def test_peers_tell_of_failures(clock: ManualClock):
-    told, hearing = (EndpointHealth(clock=clock) for _router in range(2))
-    told.note_success('one')
+    reporter, receiver = (EndpointHealth(clock=clock) for _gateway in range(2))
+    reporter.note_success('one')
     for _failure in range(6):
-        told.note_failure('one')
-    told.note_success('one')
-    unsent = told.take_unsent()
-    assert (unsent['one'].failed, unsent['one'].served) == (6, 1)
-    assert not told.take_unsent()
-    hearing.take_from_peer('one', unsent['one'])
-    assert told.failing('one') > hearing.failing('one')
-    assert round(hearing.failing('one') * 10) == 4
+        reporter.note_failure('one')
+    reporter.note_success('one')
+    unreported = reporter.take_unsent()
+    assert (unreported['one'].failed, unreported['one'].served) == (6, 1)
+    assert not reporter.take_unsent()
+    receiver.take_from_peer('one', unreported['one'])
+    assert reporter.failing('one') > receiver.failing('one')
+    assert round(receiver.failing('one') * 10) == 4
 
 
 def test_what_peers_are_served_ends_failures(clock: ManualClock):
     health = EndpointHealth(clock=clock)
     health.take_from_peer('one', Outcomes(failed=10))
-    failing = health.failing('one')
+    failure_rate = health.failing('one')
     health.take_from_peer('one', Outcomes(served=10))
-    assert health.failing('one') < failing / 2
+    assert health.failing('one') < failure_rate / 2
     health.take_from_peer('two', Outcomes(served=10))
     assert not health.failing('two')
 
--- a/wingfall/gateway/knowledge/endpoint_health.py
+++ b/wingfall/gateway/knowledge/endpoint_health.py
@@ -1,7 +1,7 @@
-"""Which endpoints fail, by what they do and not by what they say.
+"""Health of endpoints, measured by the outcomes of requests.
 
-Owns a share of failures and a time out for each endpoint, and the outcomes that
-peers have not been told.
+Owns a failure rate and an ejection time for each endpoint, and the outcomes
+that have not been reported to peers.
 """
 
 from __future__ import annotations
@@ -11,55 +11,55 @@
 if TYPE_CHECKING:
     from wingfall.clock import Clock
 
-# Part of a new outcome in the share of failures. Five failures in a row make an
-# endpoint one that fails two times in three.
-_WEIGHT: Final = 0.2
-# The same for what a peer tells, which counts less: its own line may be at
-# fault.
-_PEER_WEIGHT: Final = 0.1
-# Milliseconds for which an endpoint that takes no connection is left out; the
-# time doubles from the first to the second, so that one that restarts is used
-# within a second, and one that is gone costs one connect in four seconds.
-_MIN_EJECT_MS: Final = 500
-_MAX_EJECT_MS: Final = 4000
-# Milliseconds in which a share of failures halves without a request, so that an
-# endpoint that was replaced is soon tried again.
-_FADE_MS: Final = 5000
+# Weight of a new outcome in the failure rate. Five failures in a row raise the
+# rate to two thirds.
+_OUTCOME_WEIGHT: Final = 0.2
+# Weight of an outcome reported by a peer. It is lower, since the peer's own
+# network connection may be at fault.
+_PEER_OUTCOME_WEIGHT: Final = 0.1
+# Milliseconds for which an unreachable endpoint is ejected. The time doubles
+# from the minimum to the maximum, so that a restarted endpoint is used within a
+# second, and a lost one costs one connection attempt in four seconds.
+_MIN_EJECTION_MS: Final = 500
+_MAX_EJECTION_MS: Final = 4000
+# Milliseconds in which a failure rate halves without requests, so that a
+# replaced endpoint is soon tried again.
+_HALF_LIFE_MS: Final = 5000
 
 
 @final
-class _Record:
-    """What one endpoint did lately."""
+class _HealthRecord:
+    """Failure rate and ejection of one endpoint."""
 
-    __slots__ = ('changed_ms', 'eject_ms', 'failing', 'until_ms')
+    __slots__ = ('changed_ms', 'eject_ms', 'failure_rate', 'until_ms')
 
     def __init__(self) -> None:
-        """Start without a fault."""
-        self.failing: float = 0
+        """Create the record of a healthy endpoint."""
+        self.failure_rate: float = 0
         self.changed_ms = 0
-        self.eject_ms = _MIN_EJECT_MS
+        self.eject_ms = _MIN_EJECTION_MS
         self.until_ms = 0
 
 
 @final
 class Outcomes:
-    """How some requests to an endpoint ended."""
+    """Numbers of failed and served requests to an endpoint."""
 
     __slots__ = ('failed', 'served')
 
     def __init__(self, *, failed: int = 0, served: int = 0) -> None:
-        """Count requests.
+        """Create the counts.
 
-        :param failed: requests without an answer of use.
-        :param served: requests with one.
+        :param failed: number of requests without a usable answer.
+        :param served: number of requests with a usable answer.
         """
         self.failed = failed
         self.served = served
 
     def add(self, other: Outcomes) -> None:
-        """Add further requests.
+        """Add the counts of further requests.
 
-        :param other: how they ended.
+        :param other: outcomes of the further requests.
         """
         self.failed += other.failed
         self.served += other.served
@@ -67,115 +67,121 @@
 
 @final
 class EndpointHealth:
-    """Failures of each endpoint, fading with time.
+    """Failure rates of endpoints, which decay with time.
 
-    An endpoint that can't be reached is left out for a time that doubles;
-    then requests try it again. One that fails part of its requests gets a
-    share of failures that placement weighs; gateways tell each other of
-    them, so that each needn't meet the failures by itself.
+    An unreachable endpoint is ejected for a time that doubles, after which
+    requests try it again. An endpoint that fails some requests gets a failure
+    rate that placement takes into account. Gateways report outcomes to each
+    other, so that not each of them has to meet the failures itself.
     """
 
-    __slots__ = ('_clock', '_unsent', '_records')
+    __slots__ = ('_clock', '_unreported', '_records')
 
     def __init__(self, *, clock: Clock) -> None:
-        """Start without a fault.
+        """Create an empty record of failures.
 
-        :param clock: the time.
+        :param clock: clock for the decay and the ejections.
         """
         self._clock = clock
-        self._records: dict[str, _Record] = {}
-        # Outcomes that peers have not heard of.
-        self._unsent: dict[str, Outcomes] = {}
+        self._records: dict[str, _HealthRecord] = {}
+        # Outcomes by endpoint that have not been reported to peers.
+        self._unreported: dict[str, Outcomes] = {}
 
     def note_success(self, name: str) -> None:
-        """Count an answer.
+        """Record an answer and end an ejection.
 
-        :param name: the endpoint.
+        :param name: name of the endpoint.
         """
         record = self._records.get(name)
         if record is not None:
-            self._mix(record, 0, _WEIGHT)
-            self._tell(name, Outcomes(served=1))
-            record.eject_ms = _MIN_EJECT_MS
+            self._update_rate(record, 0, _OUTCOME_WEIGHT)
+            self._add_unreported(name, Outcomes(served=1))
+            record.eject_ms = _MIN_EJECTION_MS
             record.until_ms = 0
 
     def note_failure(self, name: str) -> None:
-        """Count a run that failed or an answer that was lost.
+        """Record a failed run or a lost answer.
 
-        :param name: the endpoint.
+        :param name: name of the endpoint.
         """
-        self._mix(self._records.setdefault(name, _Record()), 1, _WEIGHT)
-        self._tell(name, Outcomes(failed=1))
+        self._update_rate(
+            self._records.setdefault(name, _HealthRecord()), 1, _OUTCOME_WEIGHT
+        )
+        self._add_unreported(name, Outcomes(failed=1))
 
     def note_unreachable(self, name: str) -> None:
-        """Leave an endpoint out that took no connection.
+        """Eject an endpoint that accepted no connection.
 
-        :param name: the endpoint.
+        :param name: name of the endpoint.
         """
-        record = self._records.setdefault(name, _Record())
-        self._mix(record, 1, _WEIGHT)
+        record = self._records.setdefault(name, _HealthRecord())
+        self._update_rate(record, 1, _OUTCOME_WEIGHT)
         record.until_ms = self._clock.now_ms() + record.eject_ms
-        record.eject_ms = min(_MAX_EJECT_MS, record.eject_ms * 2)
+        record.eject_ms = min(_MAX_EJECTION_MS, record.eject_ms * 2)
 
     def take_unsent(self) -> dict[str, Outcomes]:
-        """Take what the peers have not heard of.
+        """Return and clear the outcomes not yet reported to peers.
 
         :returns: outcomes since the last call, by endpoint.
         """
-        unsent = self._unsent
-        self._unsent = {}
-        return unsent
+        unreported = self._unreported
+        self._unreported = {}
+        return unreported
 
     def take_from_peer(self, name: str, outcomes: Outcomes) -> None:
-        """Take what a peer tells.
+        """Merge outcomes that a peer reported.
 
-        :param name: the endpoint.
-        :param outcomes: how the peer's requests ended there.
+        :param name: name of the endpoint.
+        :param outcomes: outcomes of the peer's requests to the endpoint.
         """
         count = outcomes.failed + outcomes.served
         if name not in self._records and not outcomes.failed:
             return
-        record = self._records.setdefault(name, _Record())
+        record = self._records.setdefault(name, _HealthRecord())
         share = outcomes.failed / max(1, count)
-        self._mix(record, share, 1 - (1 - _PEER_WEIGHT) ** count)
+        self._update_rate(
+            record, share, 1 - (1 - _PEER_OUTCOME_WEIGHT) ** count
+        )
 
     def is_out(self, name: str) -> bool:
-        """Tell whether an endpoint is left out for now.
+        """Check if an endpoint is ejected now.
 
-        :param name: the endpoint.
-        :returns: whether it is.
+        :param name: name of the endpoint.
+        :returns: whether the ejection time has not ended.
         """
         record = self._records.get(name)
         return record is not None and record.until_ms > self._clock.now_ms()
 
     def failing(self, name: str) -> float:
-        """Tell how often an endpoint fails.
+        """Return the failure rate of an endpoint.
 
-        :param name: the endpoint.
-        :returns: share of its late requests, halved each five seconds
-            without a request.
+        :param name: name of the endpoint.
+        :returns: failed fraction of its recent requests, halved every five
+            seconds without a request.
         """
         record = self._records.get(name)
-        return 0 if record is None else self._faded(record)
+        return 0 if record is None else self._decayed_rate(record)
 
     def forget(self, names: set[str]) -> None:
-        """Keep only the endpoints that are listed.
+        """Remove the endpoints that are not listed.
 
-        :param names: their names.
+        :param names: names of the listed endpoints.
         """
         for name in self._records.keys() - names:
             self._records.pop(name)
-        for name in self._unsent.keys() - names:
-            self._unsent.pop(name)
+        for name in self._unreported.keys() - names:
+            self._unreported.pop(name)
 
-    def _tell(self, name: str, outcomes: Outcomes) -> None:
-        self._unsent.setdefault(name, Outcomes()).add(outcomes)
+    def _add_unreported(self, name: str, outcomes: Outcomes) -> None:
+        self._unreported.setdefault(name, Outcomes()).add(outcomes)
 
-    def _faded(self, record: _Record) -> float:
+    def _decayed_rate(self, record: _HealthRecord) -> float:
         age_ms = self._clock.now_ms() - record.changed_ms
-        return record.failing * 2 ** (-age_ms / _FADE_MS)
+        return record.failure_rate * 2 ** (-age_ms / _HALF_LIFE_MS)
 
-    def _mix(self, record: _Record, share: float, weight: float) -> None:
-        known = self._faded(record)
-        record.failing = known + (share - known) * weight
+    def _update_rate(
+        self, record: _HealthRecord, share: float, weight: float
+    ) -> None:
+        current_rate = self._decayed_rate(record)
+        record.failure_rate = current_rate + (share - current_rate) * weight
         record.changed_ms = self._clock.now_ms()
--- a/wingfall/gateway/knowledge/endpoint_lives.py
+++ b/wingfall/gateway/knowledge/endpoint_lives.py
@@ -1,10 +1,10 @@
-"""Which incarnation of each endpoint is the newest, by when it was born.
+"""The newest incarnation of each endpoint, determined by its start time.
 
-An endpoint may start again under the id that it had, and then holds nothing of
-before. Each incarnation has a name of its own, under which all that is known
-stands, so that nothing of an earlier one is taken for the newest. Owns the
-newest start of each id, also of endpoints that have left: a late write of an
-earlier incarnation must not bring it back.
+An endpoint may start again under the same id, and then has lost its state. Each
+incarnation has a name of its own, under which all information is stored, so
+that information about an earlier one is not attributed to the newest. Owns the
+newest start time of each id, also of endpoints that have left: a late write of
+an earlier incarnation must not restore it.
 """
 
 from __future__ import annotations
@@ -18,45 +18,46 @@
 
     from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 
-# Ids that are remembered, those heard of last: over 12,000 endpoints, the size
-# in two years (DEVELOPING.md), and all that start in an hour.
+# Maximum number of stored ids, those with the newest entries: above the 12,000
+# endpoints expected in two years (DEVELOPING.md) and all starts of an hour.
 _MOST_REMEMBERED: Final = 16_384
 
 
 @final
 class Incarnation(enum.StrEnum):
-    """What an entry is, beside what was heard of its id before."""
+    """Status of an entry compared with earlier entries of its id."""
 
     newest = 'newest'
-    # A late write: it changes nothing.
+    # A late write of an earlier incarnation; it changes nothing.
     earlier = 'earlier'
-    # The endpoint has told its start before, so that somebody else wrote this.
+    # No start time, though the endpoint reported one before: written by
+    # another program.
     untold = 'untold'
 
 
 @final
 class EndpointLives:
-    """The newest start of each id."""
+    """The newest start time of each endpoint id."""
 
     __slots__ = ('_born_ms',)
 
     def __init__(self) -> None:
-        """Start without an endpoint."""
+        """Create an empty store."""
         self._born_ms: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
 
     def note(self, endpoint: PoolEndpoint) -> Incarnation:
-        """Note an endpoint's entry.
+        """Record an endpoint's entry.
 
-        :param endpoint: the endpoint.
-        :returns: what the entry is.
+        :param endpoint: endpoint of the entry.
+        :returns: status of the entry.
         """
         instance, born_ms = endpoint.instance, endpoint.born_ms
         known_ms = self._born_ms.get(instance)
         if born_ms is None:
-            untold = known_ms is not None
-            return Incarnation.untold if untold else Incarnation.newest
+            is_untold = known_ms is not None
+            return Incarnation.untold if is_untold else Incarnation.newest
         if known_ms is not None and born_ms < known_ms:
             return Incarnation.earlier
         self._born_ms[instance] = born_ms
@@ -66,10 +67,10 @@
         return Incarnation.newest
 
     def has_ended(self, endpoint: PoolEndpoint) -> bool:
-        """Tell whether an incarnation is surely over.
+        """Check if a later incarnation has started under the same id.
 
-        :param endpoint: the endpoint as it was known.
-        :returns: whether a later one has started under its id.
+        :param endpoint: the incarnation.
+        :returns: whether the incarnation has certainly ended.
         """
         if endpoint.born_ms is None:
             return False
@@ -78,13 +79,13 @@
 
 
 def told_by_endpoints(listed: Sequence[PoolEndpoint]) -> list[PoolEndpoint]:
-    """Choose the entries that endpoints wrote themselves.
+    """Select the entries that were written by the endpoints themselves.
 
-    Where a platform tells each start, an entry without one is another
-    writer's. Platforms that never tell it are known by their entries.
+    Where the platform reports start times, an entry without one was written by
+    another program. The entries show whether the platform reports them.
 
-    :param listed: the entries of a pool.
-    :returns: those that tell their start where at least half do, else all.
+    :param listed: entries of a pool.
+    :returns: entries with a start time if at least half have one, else all.
     """
-    told = [each for each in listed if each.born_ms is not None]
-    return told if told and 2 * len(told) >= len(listed) else list(listed)
+    own = [each for each in listed if each.born_ms is not None]
+    return own if own and 2 * len(own) >= len(listed) else list(listed)
