--- a/tests/test_rate_share.py
+++ b/tests/test_rate_share.py
@@ -14,7 +14,7 @@
     share_equally,
 )
 
-MIN_UTILIZATION = 0.7
+MIN_USAGE = 0.7
 RATES = (0.2, 1, 8, 50)
 
 
@@ -45,9 +45,7 @@
 def test_first_requests_of_all_are_within_the_bound(rate: float, count: int):
     # The burst of each gateway, at least one request, and then the rate.
     buckets = [Pace(rate=share, now_ms=0) for share in list_shares(rate, count)]
-    burst = sum(
-        bucket.take(60_000) for bucket in buckets for _call in range(100)
-    )
+    burst = sum(each.take(60_000) for each in buckets for _call in range(100))
     assert burst + 4 * rate <= max_requests(rate)
 
 
@@ -161,7 +159,7 @@
     simulation.run(10)
     since_ms = simulation.clock.now_ms()
     simulation.run(60)
-    assert simulation.arrival_rate(since_ms) >= MIN_UTILIZATION * 8
+    assert simulation.arrival_rate(since_ms) >= MIN_USAGE * 8
     assert simulation.max_window_arrivals() <= max_requests(8)
 
 
@@ -174,11 +172,7 @@
     simulation.run(10)
     since_ms = simulation.clock.now_ms()
     simulation.run(60)
-    assert (
-        MIN_UTILIZATION * rate
-        <= simulation.arrival_rate(since_ms)
-        <= 1.1 * rate
-    )
+    assert MIN_USAGE * rate <= simulation.arrival_rate(since_ms) <= 1.1 * rate
     assert simulation.max_window_arrivals() <= max_requests(rate)
 
 
