--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -1,4 +1,4 @@
-"""Endpoints that start again under the id that they had."""
+"""Endpoints that restart under the same id."""
 
 from __future__ import annotations
 
@@ -47,22 +47,22 @@
     from collections.abc import Callable, Iterator
 
 FIRST_MS = 1_785_061_641_008
-AGAIN_MS = FIRST_MS + 5000
+LATER_MS = FIRST_MS + 5000
 PARTS = (PromptPart(part_id='p1', tokens=500),)
 
 
-def born(
+def started(
     born_ms: int | None, name: str = 'one', **changes: Any
 ) -> PoolEndpoint:
-    """Make an endpoint that started at a time."""
+    """Create an endpoint with a start time."""
     spec = {**SOUND, **changes}
     if born_ms is not None:
         spec['born'] = born_ms
     return read_endpoint(name, spec).unwrap()
 
 
-def listing(applier: ObjectApplier) -> Callable[..., None]:
-    """Give a function that writes an entry."""
+def entry_writer(applier: ObjectApplier) -> Callable[..., None]:
+    """Return a function that applies an endpoint entry."""
 
     def put(born_ms: int | None, name: str = 'one', **changes: Any) -> None:
         spec = {**SOUND, **changes}
@@ -74,59 +74,63 @@
 
 
 def usable(state: SimpleNamespace) -> list[int | None]:
-    """Tell when the endpoints in use were born."""
+    """Return the start times of the usable endpoints."""
     return [each.born_ms for each in state.knowledge.table.usable('plain')]
 
 
 def test_each_start_has_a_name_of_its_own():
-    first, again = born(FIRST_MS), born(AGAIN_MS)
+    first, again = started(FIRST_MS), started(LATER_MS)
     assert first.name != again.name
     assert first.instance == again.instance == 'one'
-    assert born(None).name == 'one'
+    assert started(None).name == 'one'
 
 
 def test_later_start_is_the_newest_and_an_earlier_one_is_not():
     lives = EndpointLives()
-    assert lives.note(born(FIRST_MS)) is Incarnation.newest
-    assert lives.note(born(AGAIN_MS)) is Incarnation.newest
-    assert lives.note(born(FIRST_MS)) is Incarnation.earlier
-    assert lives.note(born(AGAIN_MS)) is Incarnation.newest
-    assert lives.note(born(None)) is Incarnation.untold
-    assert lives.has_ended(born(FIRST_MS))
-    assert not lives.has_ended(born(AGAIN_MS))
-    assert not lives.has_ended(born(None))
+    assert lives.note(started(FIRST_MS)) is Incarnation.newest
+    assert lives.note(started(LATER_MS)) is Incarnation.newest
+    assert lives.note(started(FIRST_MS)) is Incarnation.earlier
+    assert lives.note(started(LATER_MS)) is Incarnation.newest
+    assert lives.note(started(None)) is Incarnation.untold
+    assert lives.has_ended(started(FIRST_MS))
+    assert not lives.has_ended(started(LATER_MS))
+    assert not lives.has_ended(started(None))
 
 
 def test_remembered_starts_are_bounded(monkeypatch: pytest.MonkeyPatch):
     monkeypatch.setattr(endpoint_lives, '_MOST_REMEMBERED', 2)
     lives = EndpointLives()
     for number in range(3):
-        lives.note(born(AGAIN_MS, f'i-{number}'))
-    assert lives.note(born(FIRST_MS, 'i-2')) is Incarnation.earlier
-    assert lives.note(born(FIRST_MS, 'i-0')) is Incarnation.newest
+        lives.note(started(LATER_MS, f'i-{number}'))
+    assert lives.note(started(FIRST_MS, 'i-2')) is Incarnation.earlier
+    assert lives.note(started(FIRST_MS, 'i-0')) is Incarnation.newest
 
 
 def test_entries_without_a_start_are_used_where_none_tells_it():
-    listed = [born(None, 'one'), born(None, 'two')]
+    listed = [started(None, 'one'), started(None, 'two')]
     assert told_by_endpoints(listed) == listed
 
 
 def test_entry_without_a_start_among_those_that_tell_it_is_anothers():
-    listed = [born(FIRST_MS, 'one'), born(None, 'two')]
+    listed = [started(FIRST_MS, 'one'), started(None, 'two')]
     assert told_by_endpoints(listed) == listed[:1]
 
 
 def test_one_entry_with_a_start_does_not_drive_the_others_out():
-    listed = [born(FIRST_MS, 'odd'), born(None, 'one'), born(None, 'two')]
+    listed = [
+        started(FIRST_MS, 'odd'),
+        started(None, 'one'),
+        started(None, 'two'),
+    ]
     assert told_by_endpoints(listed) == listed
 
 
 def test_new_start_takes_the_place_of_the_earlier_one_at_once():
     state = make_state()
-    put = listing(ObjectApplier(state=state))
+    put = entry_writer(ObjectApplier(state=state))
     put(FIRST_MS)
-    put(AGAIN_MS)
-    assert usable(state) == [AGAIN_MS]
+    put(LATER_MS)
+    assert usable(state) == [LATER_MS]
     assert len(state.knowledge.table.names) == 1
 
 
@@ -134,20 +138,20 @@
 def test_late_entry_of_an_earlier_start_changes_nothing(left: bool):
     state = make_state()
     applier = ObjectApplier(state=state)
-    put = listing(applier)
+    put = entry_writer(applier)
     put(FIRST_MS)
-    put(AGAIN_MS)
+    put(LATER_MS)
     if left:
         applier.apply_endpoint('one', None)
         state.knowledge.table._clock.advance(10_000)
     put(FIRST_MS)
-    still_used = [] if left else [AGAIN_MS]
-    assert usable(state) == still_used
+    expected = [] if left else [LATER_MS]
+    assert usable(state) == expected
 
 
 def test_entry_that_lost_its_start_is_anothers():
     state = make_state()
-    put = listing(ObjectApplier(state=state))
+    put = entry_writer(ObjectApplier(state=state))
     for name in ('one', 'two', 'three'):
         put(FIRST_MS, name)
     put(None, 'two')
@@ -155,28 +159,28 @@
     assert names == {'one', 'three'}
 
 
-def note_load(known: EndpointKnowledge, name: str) -> None:
-    """Have this gateway and a peer work there."""
+def add_load(known: EndpointKnowledge, name: str) -> None:
+    """Record work of this gateway and of a peer at an endpoint."""
     known.load.start(name, EndpointLoad(running=1, reading_tokens=90))
     work = [(name, EndpointLoad(running=2))]
     known.load.take_from_peer('peer', work, whole=False)
 
 
-def note_failures(known: EndpointKnowledge, name: str) -> None:
-    """Have it fail, and take no connection."""
+def add_failures(known: EndpointKnowledge, name: str) -> None:
+    """Record a failed attempt and a refused connection."""
     known.health.note_failure(name)
     known.health.note_unreachable(name)
 
 
-# What is noted of an endpoint, and what is then known, by owner.
-OWNERS = {
+# How state of an endpoint is recorded and looked up, by kind of state.
+STATE_KINDS = {
     'caches': (
         lambda known, name: known.caches.find(name).note(PARTS),
         lambda known, name: known.caches.find(name).cached_tokens(PARTS),
     ),
-    'load': (note_load, lambda known, name: known.load.total(name).running),
+    'load': (add_load, lambda known, name: known.load.total(name).running),
     'failures': (
-        note_failures,
+        add_failures,
         lambda known, name: (
             known.health.failing(name) or known.health.is_out(name)
         ),
@@ -196,35 +200,35 @@
 }
 
 
-@pytest.mark.parametrize('owner', OWNERS)
-def test_nothing_known_of_an_earlier_start_is_held_of_the_next(owner: str):
-    note, look = OWNERS[owner]
+@pytest.mark.parametrize('kind', STATE_KINDS)
+def test_nothing_known_of_an_earlier_start_is_held_of_the_next(kind: str):
+    record, find_state = STATE_KINDS[kind]
     state = make_state()
     known = state.knowledge
-    put = listing(ObjectApplier(state=state))
+    put = entry_writer(ObjectApplier(state=state))
     put(FIRST_MS)
-    note(known, born(FIRST_MS).name)
-    assert look(known, born(FIRST_MS).name)
-    put(AGAIN_MS)
+    record(known, started(FIRST_MS).name)
+    assert find_state(known, started(FIRST_MS).name)
+    put(LATER_MS)
     (newest,) = known.table.usable('plain')
-    assert not look(known, newest.name)
-    # What still comes of the earlier one changes nothing either.
-    note(known, born(FIRST_MS).name)
-    assert not look(known, newest.name)
+    assert not find_state(known, newest.name)
+    # Later records of the earlier incarnation change nothing either.
+    record(known, started(FIRST_MS).name)
+    assert not find_state(known, newest.name)
 
 
 def test_speed_of_an_earlier_start_is_learned_anew():
     state = make_state()
     known = state.knowledge
-    put = listing(ObjectApplier(state=state))
+    put = entry_writer(ObjectApplier(state=state))
     put(FIRST_MS)
-    first = born(FIRST_MS).name
+    first = started(FIRST_MS).name
     before = known.speed('nobody').read_ms(10_000)
     for _stream in range(50):
         known.speeds.find(first, 'other').rate.note(10_000, 10)
     assert known.speed(first).read_ms(10_000) < before
-    put(AGAIN_MS)
-    assert known.speed(born(AGAIN_MS).name).read_ms(10_000) == before
+    put(LATER_MS)
+    assert known.speed(started(LATER_MS).name).read_ms(10_000) == before
 
 
 def test_connection_to_an_earlier_start_is_not_used_again():
@@ -237,8 +241,8 @@
         rate_share=share_among_few,
     )
     kept = KeptConnections(clock=clock, gate=gate)
-    first = born(FIRST_MS, address=server.address)
-    again = born(AGAIN_MS, address=server.address)
+    first = started(FIRST_MS, address=server.address)
+    again = started(LATER_MS, address=server.address)
     connection = kept.take(first, timeout_ms=1000, kept=True)
     kept._idle[first.name] = [connection]
     assert kept.take(again, timeout_ms=1000, kept=True) is not connection
@@ -250,7 +254,7 @@
 
 
 def make_exchange(state: SimpleNamespace, name: str) -> LoadExchange:
-    """Make what takes and tells the work of gateways."""
+    """Create an exchange of gateway loads."""
     return LoadExchange(
         name=name,
         zone='a',
@@ -261,35 +265,35 @@
 
 def test_gateways_that_read_a_new_start_two_seconds_apart_agree():
     early, late = make_state(), make_state()
-    put_early = listing(ObjectApplier(state=early))
-    put_late = listing(ObjectApplier(state=late))
+    put_early = entry_writer(ObjectApplier(state=early))
+    put_late = entry_writer(ObjectApplier(state=late))
     put_early(FIRST_MS)
     put_late(FIRST_MS)
     peer = SimpleNamespace(name='early', zone='a')
-    told, taken = make_exchange(early, 'early'), make_exchange(late, 'late')
-    put_early(AGAIN_MS)
-    early.knowledge.load.start(born(AGAIN_MS).name, EndpointLoad(running=3))
-    loads = told.take_loads(whole=True)
-    taken.take_heartbeat(peer, loads, Activity(), whole=True)
-    # The late one still knows the earlier start alone, without that work.
-    assert late.knowledge.load.total(born(FIRST_MS).name).running == 0
-    late.knowledge.load.start(born(FIRST_MS).name, EndpointLoad(running=9))
+    source, target = make_exchange(early, 'early'), make_exchange(late, 'late')
+    put_early(LATER_MS)
+    early.knowledge.load.start(started(LATER_MS).name, EndpointLoad(running=3))
+    loads = source.take_loads(whole=True)
+    target.take_heartbeat(peer, loads, Activity(), whole=True)
+    # The late gateway knows only the earlier start, without that work.
+    assert late.knowledge.load.total(started(FIRST_MS).name).running == 0
+    late.knowledge.load.start(started(FIRST_MS).name, EndpointLoad(running=9))
     back = make_exchange(late, 'late').take_loads(whole=True)
-    told.take_heartbeat(
+    source.take_heartbeat(
         SimpleNamespace(name='late', zone='a'), back, Activity(), whole=True
     )
-    assert early.knowledge.load.total(born(AGAIN_MS).name).running == 3
-    put_late(AGAIN_MS)
-    assert late.knowledge.load.total(born(AGAIN_MS).name).running == 3
+    assert early.knowledge.load.total(started(LATER_MS).name).running == 3
+    put_late(LATER_MS)
+    assert late.knowledge.load.total(started(LATER_MS).name).running == 3
 
 
-def list_born(site: GatewaySite, pool: str, name: str, born_ms: int) -> None:
-    """Write an entry that tells its start."""
+def put_entry(site: GatewaySite, pool: str, name: str, born_ms: int) -> None:
+    """Write an entry with a start time to the store."""
     site.store.put('servers', name, site.entry(name, pool, born=born_ms))
 
 
 def restart(site: GatewaySite, name: str) -> PoolServerStandIn:
-    """Start an endpoint again at its address, under its id."""
+    """Restart an endpoint at its address, under its id."""
     before = site.servers[name]
     before.stop()
     port = int(before.address.rpartition(':')[2])
@@ -299,15 +303,15 @@
 
 def test_engine_that_started_again_counts_as_empty(gateway_site: GatewaySite):
     engine = gateway_site.add_server('one', 'engines')
-    list_born(gateway_site, 'engines', 'one', FIRST_MS)
+    put_entry(gateway_site, 'engines', 'one', FIRST_MS)
     gateway = gateway_site.add_gateway()
     prompt = {'X_Token_Count': '500,9', 'X_Prompt_Prefix': 'p1:400,own:100'}
     assert gateway_site.ask('/stream/x', method='POST', **prompt).whole
     assert engine.runs[0].headers['x-expect-instance'] == 'one'
-    first, again = f'one@{FIRST_MS}', f'one@{AGAIN_MS}'
+    first, again = f'one@{FIRST_MS}', f'one@{LATER_MS}'
     assert caches_part(gateway, first, 'p1')
     engine = restart(gateway_site, 'one')
-    list_born(gateway_site, 'engines', 'one', AGAIN_MS)
+    put_entry(gateway_site, 'engines', 'one', LATER_MS)
     wait_until(lambda: known_endpoints(gateway).find(again))
     assert not caches_part(gateway, again, 'p1')
     assert gateway_site.ask('/stream/x', method='POST', **prompt).whole
@@ -317,22 +321,22 @@
 
 @pytest.fixture
 def backup_site(gateway_site: GatewaySite) -> GatewaySite:
-    """Give two engines that keep copies, and tell their start."""
+    """Return a site of two engines with backups and start times."""
     gateway_site.config['services'][1]['engine']['backups'] = True
     gateway_site.write_config()
     for name in ('one', 'two'):
         engine = gateway_site.add_server(name, 'engines')
         engine.events = 6
         engine.event_ms = 300
-        list_born(gateway_site, 'engines', name, FIRST_MS)
+        put_entry(gateway_site, 'engines', name, FIRST_MS)
     gateway_site.add_gateway()
     return gateway_site
 
 
 def begin_stream(site: GatewaySite) -> tuple[CallerStandIn, str, str]:
-    """Begin a stream that may not be resumed, which its engine will cut.
+    """Begin a stream that may not be resumed, and that its engine will cut.
 
-    :returns: the caller, the engine that runs it, the one that has its copy.
+    :returns: the caller, the engine that runs it, the engine with its backup.
     """
     for engine in site.servers.values():
         engine.faults = ['cut']
@@ -357,9 +361,9 @@
     caller, first, other = begin_stream(backup_site)
     backup_site.servers[first].stop()
     engine = restart(backup_site, other)
-    list_born(backup_site, 'engines', other, AGAIN_MS)
+    put_entry(backup_site, 'engines', other, LATER_MS)
     table = known_endpoints(backup_site.gateways[0])
-    wait_until(lambda: table.find(f'{other}@{AGAIN_MS}'))
+    wait_until(lambda: table.find(f'{other}@{LATER_MS}'))
     assert not caller.receive().whole
     assert not engine.runs
 
@@ -368,11 +372,12 @@
     backup_site: GatewaySite,
 ):
     caller, first, other = begin_stream(backup_site)
-    # It listens again, so that only its later start shows that the run ended.
+    # The engine listens again, so only its later start time shows that the run
+    # has ended.
     restart(backup_site, first)
-    list_born(backup_site, 'engines', first, AGAIN_MS)
+    put_entry(backup_site, 'engines', first, LATER_MS)
     table = known_endpoints(backup_site.gateways[0])
-    wait_until(lambda: table.find(f'{first}@{AGAIN_MS}'))
+    wait_until(lambda: table.find(f'{first}@{LATER_MS}'))
     answer = caller.receive()
     assert answer.whole
     (run,) = backup_site.servers[other].runs
@@ -385,13 +390,13 @@
     server = gateway_site.add_server('one')
     server.delay_ms = 500
     server.faults = ['reset']
-    list_born(gateway_site, 'plain', 'one', FIRST_MS)
+    put_entry(gateway_site, 'plain', 'one', FIRST_MS)
     gateway = gateway_site.add_gateway()
     caller = gateway_site.caller()
     caller.send('/unsafe/x', method='POST', body=b'1')
     wait_until(lambda: gateway_site.servers['one'].runs)
     again = restart(gateway_site, 'one')
-    list_born(gateway_site, 'plain', 'one', AGAIN_MS)
+    put_entry(gateway_site, 'plain', 'one', LATER_MS)
     answer = caller.receive()
     assert answer.status in {502, 504}
     assert known_endpoints(gateway).names
@@ -400,7 +405,7 @@
 
 @contextlib.contextmanager
 def gateway_process(site: GatewaySite, folder: Any) -> Iterator[int]:
-    """Run a gateway as a process; gives its port for callers."""
+    """Run a gateway as a process; yield its port for callers."""
     with gateway_ports(site, folder) as (port, _admin_port):
         yield port
 
@@ -410,7 +415,7 @@
     site: GatewaySite,
     folder: Any,
 ) -> Iterator[tuple[int, int]]:
-    """Run a gateway as a process; gives its ports for callers and status."""
+    """Run a gateway as a process; yield its ports for callers and status."""
     port, admin_port = free_port(), free_port()
     settings = {
         **site.settings(),
@@ -430,7 +435,7 @@
 
 
 def status_of(port: int) -> int:
-    """Ask a gateway once; 0 while it doesn't listen."""
+    """Return the status of one request; 0 while the gateway is down."""
     try:
         caller = CallerStandIn(port=port)
     except OSError:
@@ -447,10 +452,10 @@
     tmp_path: Any,
 ):
     gateway_site.add_server('one')
-    list_born(gateway_site, 'plain', 'one', FIRST_MS)
+    put_entry(gateway_site, 'plain', 'one', FIRST_MS)
     gateway_site.store.put('servers', 'odd', {'service': 'plain'})
     with gateway_process(gateway_site, tmp_path) as port:
         wait_until(lambda: status_of(port) == 200)
         again = restart(gateway_site, 'one')
-        list_born(gateway_site, 'plain', 'one', AGAIN_MS)
+        put_entry(gateway_site, 'plain', 'one', LATER_MS)
         wait_until(lambda: status_of(port) == 200 and again.runs)
--- a/wingfall/gateway/knowledge/__init__.py
+++ b/wingfall/gateway/knowledge/__init__.py
@@ -1,4 +1,5 @@
-"""What a gateway knows of endpoints, engines and their caches.
+"""The state that a gateway holds of endpoints, engines and their caches.
 
-Learned from the store, from its own calls and from peers; nothing here decides.
+Sources are the store, the gateway's own calls and its peers. No routing
+decision is made here.
 """
--- a/wingfall/gateway/knowledge/endpoint_knowledge.py
+++ b/wingfall/gateway/knowledge/endpoint_knowledge.py
@@ -1,6 +1,7 @@
-"""What a gateway knows of the endpoints: listed, seen by itself, or told.
+"""The state that a gateway holds of endpoints, from all sources.
 
-Joins the tables and forgets endpoints that are gone. Decides nothing.
+Joins the tables of listed, measured and reported state, and removes departed
+endpoints. No routing decision is made here.
 """
 
 from __future__ import annotations
@@ -30,37 +31,37 @@
     from wingfall.gateway.knowledge.engine_speeds import Rates
 
 
-# Milliseconds between two looks at how many engines a pool has: asked for each
-# engine that a prompt is weighed at.
-_LOOK_MS: Final = 500
+# How long the size class of a pool is cached: the check runs for each engine
+# that is considered for a prompt.
+_POOL_SIZE_MAX_AGE_MS: Final = 500
 
 
 @final
 class _PoolSize:
-    """Whether a pool counted as large when it was looked at."""
+    """The cached size class of a pool."""
 
-    __slots__ = ('is_large', 'looked_ms')
+    __slots__ = ('is_large', 'checked_ms')
 
     def __init__(self, *, is_large: bool, at_ms: int) -> None:
-        """Keep it.
+        """Create a cache entry.
 
-        :param is_large: whether it did.
-        :param at_ms: when it was looked at.
+        :param is_large: whether the pool counts as large.
+        :param at_ms: clock time of the check in milliseconds.
         """
         self.is_large = is_large
-        self.looked_ms = at_ms
+        self.checked_ms = at_ms
 
 
 @final
 class EndpointKnowledge:
-    """Owns one table for each thing that is known of endpoints."""
+    """The tables of endpoint state, one for each kind of state."""
 
     __slots__ = (
         '_clock',
         '_large_pool',
         '_short_gap_ms',
         '_shortest_gaps_ms',
-        '_sizes',
+        '_pool_sizes',
         '_first_events_ms',
         'caches',
         'crashes',
@@ -87,34 +88,35 @@
         large_pool: int = 0,
         short_gap_ms: int = 0,
     ) -> None:
-        """Start without an endpoint.
+        """Create tables without endpoints.
 
-        :param clock: the time.
+        :param clock: the clock that all tables share.
         :param name: name of this gateway.
-        :param rates: how fast engines read.
-        :param starts: how estimates of first events are corrected.
-        :param full_gaps: keeps gaps of streams beside reads.
-        :param large_pool: engines of a pool from which it counts as large.
-        :param short_gap_ms: token gaps that count as short, 0 if all do.
+        :param rates: prefill rates of engines.
+        :param starts: corrects estimates of first events.
+        :param full_gaps: token gaps of streams during a prefill.
+        :param large_pool: number of engines from which a pool counts as large.
+        :param short_gap_ms: longest token gap in milliseconds that counts as
+            short, 0 if all gaps do.
         """
         self._clock = clock
         self._large_pool = large_pool
         self._short_gap_ms = short_gap_ms
         self._shortest_gaps_ms: dict[str, int] = {}
-        self._sizes: dict[str, _PoolSize] = {}
-        # When the last first event of each pool came to this gateway.
+        self._pool_sizes: dict[str, _PoolSize] = {}
+        # When this gateway received the newest first event, by pool.
         self._first_events_ms: dict[str, int] = {}
-        # Which there are, by the store.
+        # Listed endpoints, from the store.
         self.table = EndpointTable(clock=clock)
-        # Which of their incarnations is the newest, by the store.
+        # The newest incarnation of each endpoint, from the store.
         self.lives = EndpointLives()
-        # What runs there, by the calls of this gateway and its peers.
+        # Running work, from the calls of this gateway and its peers.
         self.load = LoadTable()
-        # Which parts of prompts they cache, by what was sent and told.
+        # Cached prompt parts, from sent prompts and reports.
         self.caches = PrefixCaches()
-        # Gaps of their streams while they read, by all gateways.
+        # Token gaps of streams during a prefill, from all gateways.
         self.full_gaps = full_gaps or FullGaps(clock=clock)
-        # How fast they read and answer, by their streams.
+        # Prefill rates and answer speeds, measured at streams.
         if rates is not None and (large_pool or short_gap_ms):
             rates = SizedRates(
                 own=OwnRates(),
@@ -122,135 +124,139 @@
                 is_together=self.judges_together,
             )
         self.speeds = EngineSpeeds(rates=rates, full_gaps=self.full_gaps)
-        # How far estimates of first events are off, by those that came.
+        # Errors of first event estimates, from first events received.
         self.starts = starts or StartEstimates()
-        # Long prompts that they were sent lately, by all gateways.
+        # Recent long prefills, from all gateways.
         self.long_reads = LongReads(clock=clock)
-        # How often they fail, by the calls of all gateways.
+        # Failure rates, from the calls of all gateways.
         self.health = EndpointHealth(clock=clock)
-        # Which crashed, and what ran there, by the calls of all gateways.
+        # Crashes and the requests that ran there, from all gateways.
         self.crashes = CrashLedger(clock=clock)
-        # What customers were given there, by all gateways.
+        # Work of customers by pool, from all gateways.
         self.customer_work = CustomerWork(clock=clock)
-        # What they have said of themselves, to any gateway.
+        # Signals that endpoints sent to any gateway.
         self.signals = EndpointSignals(name=name, clock=clock)
 
     def note_gaps(self, shortest_ms: Mapping[str, int]) -> None:
-        """Note which token gaps the configuration in force asks for.
+        """Set the token gap bounds of the configuration in force.
 
-        :param shortest_ms: for each pool the shortest gap in milliseconds that
-            streams of its routes bear.
+        :param shortest_ms: for each pool, the shortest token gap bound of the
+            streams of its routes in milliseconds.
         """
         self._shortest_gaps_ms = dict(shortest_ms)
-        self._sizes = {}
+        self._pool_sizes = {}
 
     def judges_together(self, pool: str) -> bool:
-        """Tell whether gateways judge the engines of a pool together.
+        """Check if gateways share estimates of the engines of a pool.
 
-        They do where many gateways see little of each engine, and streams bear
-        only short gaps, so that a wrong choice of the engine makes them late.
+        They do where many gateways have few samples of each engine, and streams
+        tolerate only short token gaps, so that a wrong choice of the engine
+        makes them late.
 
-        :param pool: its name.
+        :param pool: name of the pool.
         :returns: whether the pool is large and has such streams.
         """
-        known = self._sizes.get(pool)
+        known = self._pool_sizes.get(pool)
         now_ms = self._clock.now_ms()
-        if known is None or now_ms - known.looked_ms >= _LOOK_MS:
+        if known is None or now_ms - known.checked_ms >= _POOL_SIZE_MAX_AGE_MS:
             known = _PoolSize(is_large=self._is_large(pool), at_ms=now_ms)
-            self._sizes[pool] = known
+            self._pool_sizes[pool] = known
         return known.is_large
 
     def expected_start_ms(
         self, pool: str, tier: int, estimate_ms: float
     ) -> float:
-        """Estimate a first event, corrected where gateways judge together.
+        """Correct the estimate of a first event where estimates are shared.
 
         :param pool: name of the pool.
-        :param tier: how urgent the prompt is at its engine, 0 the most.
-        :param estimate_ms: milliseconds to the first event by what waits.
-        :returns: milliseconds to the first event as it is likely to come.
+        :param tier: urgency of the prompt at its engine, 0 is the most urgent.
+        :param estimate_ms: milliseconds to the first event, estimated from the
+            pending work.
+        :returns: expected milliseconds to the first event.
         """
         if not self.judges_together(pool):
             return estimate_ms
         return self.starts.expected_ms(pool, tier, estimate_ms)
 
     def speed(self, name: str) -> EngineSpeed:
-        """Give what an engine has shown of its speed.
+        """Return the measured speed of an engine.
 
-        :param name: the endpoint.
-        :returns: how fast it is; its pool's average where it is new.
+        :param name: name of the endpoint.
+        :returns: the speed; the average of its pool if the engine is new.
         """
         known = self.table.find(name)
         return self.speeds.find(name, known.pool if known else '')
 
     def take_readings(self, name: str, rates: list[int]) -> None:
-        """Take readings of an engine that another gateway has seen.
+        """Merge prefill rate samples of an engine from another gateway.
 
-        :param name: the endpoint, which may not be listed yet.
-        :param rates: tenths of a token a millisecond, the newest last; below
-            zero what the other gateway believes.
+        :param name: name of the endpoint, which may not be listed yet.
+        :param rates: rates in tenths of a token per millisecond, the newest
+            last; a negative value is the other gateway's estimate.
         """
         known = self.table.find(name)
         self.speeds.rates.take_told(name, known.pool if known else '', rates)
 
     def take_gaps(self, name: str, gaps_ms: list[int]) -> None:
-        """Take gaps of an engine's streams that another gateway has seen.
+        """Merge token gaps of an engine's streams from another gateway.
 
-        :param name: the endpoint; one that isn't listed is passed over.
-        :param gaps_ms: their milliseconds, the newest last.
+        :param name: name of the endpoint; ignored if it is not listed.
+        :param gaps_ms: token gaps in milliseconds, the newest last.
         """
         if self.table.find(name) is not None:
             self.full_gaps.take_told(name, gaps_ms)
 
     def ready_ms(self, name: str) -> int:
-        """Estimate when an engine will have read all that was sent to it.
+        """Estimate when the prefill of all prompts sent to an engine ends.
 
-        :param name: the endpoint.
-        :returns: a reading of the clock in milliseconds.
+        :param name: name of the endpoint.
+        :returns: clock time in milliseconds.
         """
-        reading = self.load.total(name).reading_tokens
-        read_ms = self.speed(name).read_ms(reading)
-        return self._clock.now_ms() + int(read_ms)
+        pending_tokens = self.load.total(name).reading_tokens
+        remaining_ms = self.speed(name).read_ms(pending_tokens)
+        return self._clock.now_ms() + int(remaining_ms)
 
     def note_first_event(self, pool: str) -> None:
-        """Note that a first event has come, from which estimates learn.
+        """Record the time of a first event that updates the estimates.
 
         :param pool: name of the pool.
         """
         self._first_events_ms[pool] = self._clock.now_ms()
 
     def first_event_age_ms(self, pool: str) -> int | None:
-        """Tell how old the newest first event is that estimates rest on.
+        """Return the age of the newest first event that updated estimates.
 
         :param pool: name of the pool.
-        :returns: milliseconds, None if none has come.
+        :returns: age in milliseconds, None if there was no first event.
         """
-        came_ms = self._first_events_ms.get(pool)
-        return None if came_ms is None else self._clock.now_ms() - came_ms
+        received_ms = self._first_events_ms.get(pool)
+        return (
+            None if received_ms is None else self._clock.now_ms() - received_ms
+        )
 
     def note_failure(self, name: str) -> None:
-        """Note an attempt at an endpoint that failed.
+        """Record a failed attempt at an endpoint.
 
-        One that asks this gateway for rest doesn't fail: to the others it is
-        as it was, and here it is left out for as long as it asked.
+        Not counted while the endpoint asks this gateway for rest: it is
+        unchanged for other gateways, and this one omits it for the time asked.
 
-        :param name: the endpoint.
+        :param name: name of the endpoint.
         """
         if not self.signals.rests.is_resting(name):
             self.health.note_failure(name)
 
     def note_prompt_sent(self, name: str, uncached_tokens: int) -> None:
-        """Note a prompt that a gateway sent.
+        """Record a prompt that a gateway sent.
 
-        :param name: the endpoint.
-        :param uncached_tokens: its tokens that the engine has to read.
+        :param name: name of the endpoint.
+        :param uncached_tokens: prompt tokens that the engine has to prefill.
         """
-        beyond = uncached_tokens - SHORT_READ_TOKENS
-        if beyond > 0:
-            self.long_reads.note(name, beyond)
+        excess_tokens = uncached_tokens - SHORT_READ_TOKENS
+        if excess_tokens > 0:
+            self.long_reads.note(name, excess_tokens)
 
     def forget_departed(self) -> None:
-        """Forget endpoints that are not listed any more, and old crashes."""
+        """Remove the state of unlisted endpoints, and old crashes."""
         self.crashes.forget_old()
         names = self.table.names
         self.health.forget(names)
--- a/wingfall/gateway/knowledge/endpoint_table.py
+++ b/wingfall/gateway/knowledge/endpoint_table.py
@@ -1,7 +1,7 @@
-"""The endpoints that a gateway knows, and whether they take new work.
+"""Table of the endpoints that a gateway knows and may send new work to.
 
-Filled by the object applier alone. An entry that went may only have lapsed in
-the store, which is decided here.
+Only the object applier changes the table. The table decides whether a removed
+entry may only have lapsed in the store.
 """
 
 from __future__ import annotations
@@ -15,17 +15,18 @@
     from wingfall.clock import Clock
     from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 
-# An entry that went without notice may only have lapsed in the store. Its
-# endpoint stays usable for this many milliseconds, but only where at least
-# half of a pool went at once. A leaving endpoint must get nothing new two
-# seconds after its entry went, and a gateway that hears of it from a peer hears
-# up to 1.2 s late (revisions are told each second, asked for after 200 ms).
-_LAPSE_MS: Final = 600
+# An entry removed while its endpoint was not draining may only have lapsed in
+# the store. The endpoint stays usable for this time, but only where at least
+# half of a pool went at once. A leaving endpoint must get no new work two
+# seconds after its entry went, and a gateway that receives the change from a
+# peer is up to 1.2 s late (revisions are sent each second, objects requested
+# after 200 ms).
+_LAPSE_GRACE_MS: Final = 600
 
 
 @final
 class EndpointTable:
-    """All endpoints by name, with those that went a moment ago."""
+    """The listed endpoints, and endpoints whose entries may have lapsed."""
 
     __slots__ = (
         '_by_instance',
@@ -37,52 +38,52 @@
     )
 
     def __init__(self, *, clock: Clock) -> None:
-        """Start empty.
+        """Create an empty table.
 
-        :param clock: tells how long ago an entry went.
+        :param clock: measures the time since an entry was removed.
         """
         self._clock = clock
         self._by_name: dict[str, PoolEndpoint] = {}
-        # The same by the id that an endpoint keeps when it starts again.
+        # By the id that an endpoint keeps across restarts.
         self._by_instance: dict[str, PoolEndpoint] = {}
         self._by_pool: dict[str, dict[str, PoolEndpoint]] = {}
         self._lapsed: dict[str, tuple[PoolEndpoint, int]] = {}
-        # Those that take new work, by pool, until something changes.
+        # Endpoints that take new work, by pool; cleared at each change.
         self._ready: dict[str, list[PoolEndpoint]] = {}
 
     @property
     def names(self) -> set[str]:
-        """Names of all endpoints that are listed."""
+        """Names of all listed endpoints."""
         return set(self._by_name)
 
     @property
     def listed(self) -> list[PoolEndpoint]:
-        """All endpoints that are listed."""
+        """All listed endpoints."""
         return list(self._by_name.values())
 
     def find(self, name: str) -> PoolEndpoint | None:
-        """Find a listed endpoint.
+        """Return a listed endpoint.
 
-        :param name: its name.
-        :returns: the endpoint, if it is listed.
+        :param name: name of the endpoint.
+        :returns: the endpoint, or None if it is not listed.
         """
         return self._by_name.get(name)
 
     def put(self, endpoint: PoolEndpoint) -> None:
-        """List an endpoint, or replace its entry.
+        """Add an endpoint or replace its entry.
 
-        :param endpoint: the endpoint; an earlier incarnation goes with its
-            entry, and a pool that the entry names no longer loses it.
+        :param endpoint: the endpoint; an earlier incarnation is removed, also
+            from a pool that the new entry no longer names.
         """
-        known = self._by_instance.get(endpoint.instance)
-        if known is not None:
-            self._drop(known)
+        previous = self._by_instance.get(endpoint.instance)
+        if previous is not None:
+            self._unlist(previous)
         self._lapsed.pop(endpoint.instance, None)
         self._ready.clear()
         self._by_name[endpoint.name] = endpoint
         self._by_instance[endpoint.instance] = endpoint
         self._by_pool.setdefault(endpoint.pool, {})[endpoint.name] = endpoint
-        if known is None or _differs(known, endpoint):
+        if previous is None or _is_changed(previous, endpoint):
             log_event(
                 'endpoints',
                 'The list has an endpoint.',
@@ -93,17 +94,17 @@
             )
 
     def remove(self, instance: str) -> None:
-        """Take an endpoint off the list.
+        """Remove an endpoint.
 
-        :param instance: its id.
+        :param instance: id of the endpoint, the same across restarts.
         """
         endpoint = self._by_instance.get(instance)
         if endpoint is None:
             return
         self._ready.clear()
-        self._drop(endpoint)
+        self._unlist(endpoint)
         if not endpoint.draining:
-            until_ms = self._clock.now_ms() + _LAPSE_MS
+            until_ms = self._clock.now_ms() + _LAPSE_GRACE_MS
             self._lapsed[instance] = (endpoint, until_ms)
         log_event(
             'endpoints',
@@ -114,19 +115,19 @@
         )
 
     def usable(self, pool: str) -> list[PoolEndpoint]:
-        """List the endpoints of a pool that take new work.
+        """Return the endpoints of a pool that take new work.
 
         :param pool: name of the pool.
-        :returns: those listed and not draining; where at least as many
-            entries went a moment ago, those as well.
+        :returns: the listed endpoints that are not draining, and the lapsed
+            endpoints where these are at least as many.
         """
         ready = self._list_ready(pool)
         if not self._lapsed:
             return ready
-        lapsed = self._recently_listed(pool)
+        lapsed = self._list_lapsed(pool)
         return ready + lapsed if len(lapsed) >= len(ready) else ready
 
-    def _drop(self, endpoint: PoolEndpoint) -> None:
+    def _unlist(self, endpoint: PoolEndpoint) -> None:
         self._by_instance.pop(endpoint.instance)
         self._by_name.pop(endpoint.name)
         self._by_pool[endpoint.pool].pop(endpoint.name)
@@ -135,12 +136,12 @@
         ready = self._ready.get(pool)
         if ready is None:
             listed = list(self._by_pool.get(pool, {}).values())
-            told = told_by_endpoints(listed)
-            ready = [each for each in told if not each.draining]
+            own_entries = told_by_endpoints(listed)
+            ready = [each for each in own_entries if not each.draining]
             self._ready[pool] = ready
         return ready
 
-    def _recently_listed(self, pool: str) -> list[PoolEndpoint]:
+    def _list_lapsed(self, pool: str) -> list[PoolEndpoint]:
         now_ms = self._clock.now_ms()
         self._lapsed = {
             name: (endpoint, until_ms)
@@ -154,6 +155,6 @@
         ]
 
 
-def _differs(known: PoolEndpoint, endpoint: PoolEndpoint) -> bool:
-    before = (known.name, known.pool, known.draining)
-    return before != (endpoint.name, endpoint.pool, endpoint.draining)
+def _is_changed(previous: PoolEndpoint, endpoint: PoolEndpoint) -> bool:
+    previous_state = (previous.name, previous.pool, previous.draining)
+    return previous_state != (endpoint.name, endpoint.pool, endpoint.draining)
