--- a/tests/test_gateway_load.py
+++ b/tests/test_gateway_load.py
@@ -1,4 +1,4 @@
-"""What runs where, and the copy of the platform's objects."""
+"""Load table, replica of the platform's objects, and endpoint table."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
     write_work,
 )
 
-# Milliseconds for which an entry that went without notice is still used.
-MOST_LAPSE_MS = 600
+# How long a lapsed entry is still used.
+LAPSE_GRACE_MS = 600
 
 
 def stored(name: str, revision: int, *, gone: bool = False) -> StoredObject:
-    """Make an object."""
+    """Create a stored object, or the record of its deletion."""
     spec = None if gone else {'revision': revision}
     return StoredObject(name=name, revision=revision, spec=spec)
 
 
 def make_endpoint(name: str, *, draining: bool = False) -> PoolEndpoint:
-    """Make an endpoint of one pool."""
+    """Create an endpoint of the test pool."""
     return PoolEndpoint(
         name=name,
         pool='pool',
@@ -43,8 +43,8 @@
 
 def test_load_counts_from_sending_to_end():
     table = LoadTable()
-    brought = EndpointLoad(running=1, reading_tokens=500, memory_used=600)
-    entry = table.start('one', brought)
+    load = EndpointLoad(running=1, reading_tokens=500, memory_used=600)
+    entry = table.start('one', load)
     assert table.total('one').reading_tokens == 500
     entry.begin_output()
     entry.begin_output()
@@ -57,12 +57,12 @@
 
 
 def test_load_that_was_brought_stays_as_it_was():
-    brought = EndpointLoad(running=1, reading_tokens=500, streams={200: 1})
-    entry = LoadTable().start('one', brought)
+    load = EndpointLoad(running=1, reading_tokens=500, streams={200: 1})
+    entry = LoadTable().start('one', load)
     entry.begin_output()
     entry.end()
-    assert brought.reading_tokens == 500
-    assert brought.streams == {200: 1}
+    assert load.reading_tokens == 500
+    assert load.streams == {200: 1}
 
 
 def test_load_adds_up_over_peers():
@@ -104,11 +104,11 @@
 
 
 def test_sum_fades(clock: ManualClock):
-    reads = DecayingSum(half_life_ms=1000)
-    reads.add(4000, clock.now_ms())
-    assert reads.at(clock.now_ms()) == pytest.approx(4000)
+    decaying_sum = DecayingSum(half_life_ms=1000)
+    decaying_sum.add(4000, clock.now_ms())
+    assert decaying_sum.at(clock.now_ms()) == pytest.approx(4000)
     clock.advance(1000)
-    assert reads.at(clock.now_ms()) == pytest.approx(2000)
+    assert decaying_sum.at(clock.now_ms()) == pytest.approx(2000)
 
 
 def test_streams_are_counted_by_the_pause_they_bear():
@@ -138,54 +138,54 @@
 
 
 def reading(revision: int, *objects: StoredObject) -> StoreReading:
-    """Make a reading of the store."""
+    """Create a result of reading the store."""
     return StoreReading(revision=revision, objects=list(objects))
 
 
-def make_replica(told: list[tuple[str, object]]) -> ObjectReplica:
-    """Make a replica that tells a list of its changes."""
+def make_replica(changes: list[tuple[str, object]]) -> ObjectReplica:
+    """Create a replica that appends its changes to a list."""
     return ObjectReplica(
         kind='k',
-        listener=lambda name, spec: told.append((name, spec is None)),
+        listener=lambda name, spec: changes.append((name, spec is None)),
     )
 
 
 def test_replica_only_moves_up():
-    told = []
-    replica = make_replica(told)
+    changes = []
+    replica = make_replica(changes)
     assert replica.apply_changes(reading(5, stored('a', 5))) == 1
     assert replica.apply_changes(reading(5, stored('a', 5))) == 0
     assert replica.apply_changes(reading(6, stored('a', 4))) == 0
     assert replica.apply_changes(reading(7, stored('a', 6, gone=True))) == 1
     assert replica.apply_changes(reading(7, stored('a', 6))) == 0
-    assert told == [('a', False), ('a', True)]
+    assert changes == [('a', False), ('a', True)]
 
 
 def test_list_removes_what_it_lacks_but_not_what_is_newer():
-    told = []
-    replica = make_replica(told)
+    changes = []
+    replica = make_replica(changes)
     replica.apply_changes(reading(5, stored('old', 5)))
     replica.apply_changes(reading(20, stored('new', 20)))
     replica.apply_list(reading(10, stored('a', 9)))
-    assert told[2:] == [('a', False), ('old', True)]
+    assert changes[2:] == [('a', False), ('old', True)]
 
 
 def test_gone_event_with_the_last_revision_counts_once():
-    told = []
-    replica = make_replica(told)
+    changes = []
+    replica = make_replica(changes)
     replica.apply_changes(reading(5, stored('a', 5)))
     replica.apply_changes(reading(8, stored('a', 5, gone=True)))
     replica.apply_changes(reading(9, stored('a', 5)))
-    assert told == [('a', False), ('a', True)]
+    assert changes == [('a', False), ('a', True)]
 
 
 def test_object_that_went_and_came_within_one_reading_is_there():
-    told = []
-    replica = make_replica(told)
+    changes = []
+    replica = make_replica(changes)
     replica.apply_changes(reading(5, stored('a', 5)))
-    went_and_came = (stored('a', 5, gone=True), stored('a', 7))
-    replica.apply_changes(reading(12, *went_and_came))
-    assert told[-1] == ('a', False)
+    deleted_and_created = (stored('a', 5, gone=True), stored('a', 7))
+    replica.apply_changes(reading(12, *deleted_and_created))
+    assert changes[-1] == ('a', False)
 
 
 def test_peer_gets_what_it_lacks():
@@ -215,7 +215,7 @@
     table.remove('one')
     table.remove('two')
     assert len(table.usable('pool')) == 3
-    clock.advance(MOST_LAPSE_MS)
+    clock.advance(LAPSE_GRACE_MS)
     assert [each.name for each in table.usable('pool')] == ['three']
 
 
--- a/wingfall/gateway/knowledge/load.py
+++ b/wingfall/gateway/knowledge/load.py
@@ -1,8 +1,8 @@
-"""What runs where, by this gateway's own count and what its peers tell.
+"""Work that runs at each endpoint, by this gateway and its peers.
 
-Owns the work of each gateway at each endpoint, and the sum over peers. Own
-work is counted from its sending to its end; what peers tell replaces what they
-told.
+Holds the work of each gateway at each endpoint, and the sum over peers. Own
+work is counted from the sending of a request to its end; a report of a peer
+replaces its earlier reports.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
         memory_used: int = 0,
         streams: dict[int, int] | None = None,
     ) -> None:
-        """Describe the work.
+        """Initialize the work.
 
-        :param running: requests sent there and not ended.
-        :param reading_tokens: prompt tokens of those without a first event.
-        :param memory_used: tokens that these requests hold.
-        :param streams: how many streams among them bear which longest gap
-            in milliseconds.
+        :param running: number of requests sent to the endpoint and not ended.
+        :param reading_tokens: prompt tokens of requests without a first event.
+        :param memory_used: tokens that these requests hold in memory.
+        :param streams: number of streams among them by token gap bound in
+            milliseconds.
         """
         self.running = running
         self.reading_tokens = reading_tokens
@@ -42,79 +42,80 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing runs there."""
+        """Whether no request runs at the endpoint."""
         return not self.running
 
     def add(self, other: EndpointLoad, sign: int = 1) -> None:
-        """Add work, or take it away.
+        """Add or subtract work.
 
-        :param other: the work.
-        :param sign: 1 to add, -1 to take away.
+        :param other: the work to add or subtract.
+        :param sign: 1 to add, -1 to subtract.
         """
         self.running += sign * other.running
         self.reading_tokens += sign * other.reading_tokens
         self.memory_used += sign * other.memory_used
         for gap_ms, count in other.streams.items():
-            left = self.streams.get(gap_ms, 0) + sign * count
-            self.streams[gap_ms] = left
-            if not left:
+            remaining = self.streams.get(gap_ms, 0) + sign * count
+            self.streams[gap_ms] = remaining
+            if not remaining:
                 self.streams.pop(gap_ms)
 
 
 @final
 class LoadTable:
-    """Work at all endpoints."""
+    """Work at all endpoints, by the gateway that sent it."""
 
-    __slots__ = ('_changed', '_of_peers', '_own', '_peers')
+    __slots__ = ('_unreported', '_peer_totals', '_own', '_peers')
 
     def __init__(self) -> None:
-        """Start without work."""
+        """Create an empty table."""
         self._own: dict[str, EndpointLoad] = {}
         self._peers: dict[str, dict[str, EndpointLoad]] = {}
-        # The sum over all peers, so that a look-up doesn't grow with them.
-        self._of_peers: dict[str, EndpointLoad] = {}
-        # Endpoints whose own work the peers have not heard of.
-        self._changed: set[str] = set()
+        # Sum over all peers: the cost of a look-up doesn't grow with them.
+        self._peer_totals: dict[str, EndpointLoad] = {}
+        # Endpoints whose own work is not yet reported to peers.
+        self._unreported: set[str] = set()
 
     @property
     def own(self) -> dict[str, EndpointLoad]:
-        """Work that this gateway has sent, by endpoint."""
+        """Work sent by this gateway, by endpoint."""
         return self._own
 
     @property
     def has_changed(self) -> bool:
-        """Whether there is work that the peers have not heard of."""
-        return bool(self._changed)
+        """Whether own work has changes not yet reported to peers."""
+        return bool(self._unreported)
 
     def take_changed(self) -> dict[str, EndpointLoad]:
-        """Take what the peers have not heard of.
+        """Return own work with unreported changes and mark it as reported.
 
-        :returns: own work by endpoint, idle where it has ended.
+        :returns: own work by endpoint, idle where all requests have ended.
         """
         changed = {
-            name: self._own.get(name, EndpointLoad()) for name in self._changed
+            name: self._own.get(name, EndpointLoad())
+            for name in self._unreported
         }
-        self._changed = set()
+        self._unreported = set()
         return changed
 
     def total(self, endpoint: str) -> EndpointLoad:
-        """Sum up the work at an endpoint.
+        """Return the total work at an endpoint.
 
-        :param endpoint: its name.
+        :param endpoint: name of the endpoint.
         :returns: the work of this gateway and its peers.
         """
         summed = EndpointLoad()
-        for table in (self._own, self._of_peers):
+        for table in (self._own, self._peer_totals):
             load = table.get(endpoint)
             if load is not None:
                 summed.add(load)
         return summed
 
     def sum_with(self, peers: Iterable[str]) -> dict[str, EndpointLoad]:
-        """Sum up the own work and that of some peers.
+        """Return the sum of the own work and the work of some peers.
 
-        :param peers: their names.
-        :returns: the work by endpoint.
+        :param peers: names of the peers.
+        :returns: the summed work by endpoint.
         """
         summed: dict[str, EndpointLoad] = {}
         for known in (
@@ -126,22 +127,22 @@
         return summed
 
     def start(self, endpoint: str, load: EndpointLoad) -> LoadEntry:
-        """Count a request that is sent.
+        """Start counting the work of a request.
 
-        :param endpoint: where it goes.
-        :param load: the work it brings.
-        :returns: the entry that ends it.
+        :param endpoint: name of the endpoint that gets the request.
+        :param load: work of the request.
+        :returns: the entry that updates and ends this work.
         """
         return LoadEntry(table=self, endpoint=endpoint, load=load)
 
     def change(self, endpoint: str, load: EndpointLoad, sign: int) -> None:
-        """Change this gateway's own work.
+        """Adjust this gateway's own work at an endpoint.
 
-        :param endpoint: the endpoint.
-        :param load: the work.
-        :param sign: 1 to add, -1 to take away.
+        :param endpoint: name of the endpoint.
+        :param load: the work to add or subtract.
+        :param sign: 1 to add, -1 to subtract.
         """
-        self._changed.add(endpoint)
+        self._unreported.add(endpoint)
         own = self._own.setdefault(endpoint, EndpointLoad())
         own.add(load, sign)
         if own.idle:
@@ -154,11 +155,11 @@
         *,
         whole: bool,
     ) -> None:
-        """Take what a peer tells.
+        """Merge the work that a peer reports.
 
-        :param peer: the peer.
-        :param loads: its work by endpoint, idle where it has ended.
-        :param whole: whether it has no work at other endpoints.
+        :param peer: name of the peer.
+        :param loads: work of the peer by endpoint, idle where it has ended.
+        :param whole: whether the peer has no work at other endpoints.
         """
         if whole:
             self.forget(peer)
@@ -169,9 +170,9 @@
                 known[name] = load
 
     def forget(self, peer: str) -> None:
-        """Forget a peer that is gone.
+        """Remove the work of a departed peer.
 
-        :param peer: the peer.
+        :param peer: name of the peer.
         """
         for name, load in self._peers.pop(peer, {}).items():
             self._replace(name, load, EndpointLoad())
@@ -182,19 +183,19 @@
         known: EndpointLoad | None,
         load: EndpointLoad,
     ) -> None:
-        of_peers = self._of_peers.setdefault(endpoint, EndpointLoad())
+        peer_total = self._peer_totals.setdefault(endpoint, EndpointLoad())
         if known is not None:
-            of_peers.add(known, -1)
-        of_peers.add(load)
-        if of_peers.idle:
-            self._of_peers.pop(endpoint)
+            peer_total.add(known, -1)
+        peer_total.add(load)
+        if peer_total.idle:
+            self._peer_totals.pop(endpoint)
 
 
 @final
 class LoadEntry:
-    """One request's work, from its sending to its end."""
+    """Work of one request in a load table, from its sending to its end."""
 
-    __slots__ = ('_begun', '_endpoint', '_load', '_table')
+    __slots__ = ('_has_output', '_endpoint', '_load', '_table')
 
     def __init__(
         self,
@@ -203,35 +204,35 @@
         endpoint: str,
         load: EndpointLoad,
     ) -> None:
-        """Count the work.
+        """Add the work to the table.
 
-        :param table: where it is counted.
-        :param endpoint: where the request goes.
-        :param load: the work it brings.
+        :param table: the table that counts the work.
+        :param endpoint: name of the endpoint that gets the request.
+        :param load: work of the request.
         """
         self._table = table
         self._endpoint = endpoint
-        # A copy, since it shrinks as the request goes on.
+        # A copy, since the work shrinks while the request runs.
         self._load = EndpointLoad()
         self._load.add(load)
-        self._begun = False
+        self._has_output = False
         table.change(endpoint, load, 1)
 
     def begin_output(self) -> bool:
-        """Note that the prompt has been read.
+        """Record that the prefill of the prompt has ended.
 
-        :returns: whether this was not known before.
+        :returns: True for the first call, False for further calls.
         """
-        if self._begun:
+        if self._has_output:
             return False
-        self._begun = True
-        read = EndpointLoad(reading_tokens=self._load.reading_tokens)
+        self._has_output = True
+        prefilled = EndpointLoad(reading_tokens=self._load.reading_tokens)
         self._load.reading_tokens = 0
-        self._table.change(self._endpoint, read, -1)
+        self._table.change(self._endpoint, prefilled, -1)
         return True
 
     def end(self) -> None:
-        """Note that the request has ended; further calls do nothing."""
+        """Record the end of the request; further calls do nothing."""
         ended = self._load
         self._load = EndpointLoad()
         if ended.running:
