--- a/tests/test_customer_work.py
+++ b/tests/test_customer_work.py
@@ -1,4 +1,4 @@
-"""What is known of the work of customers."""
+"""Decaying work of customers, and its report to peers."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 POOL = 'engines'
 HALF_LIFE_MS = 2000
-MOST_CUSTOMERS = 15_000
+MAX_CUSTOMERS = 15_000
 
 
 @pytest.fixture
 def work(clock: ManualClock) -> CustomerWork:
-    """Give what is known at the start."""
+    """Return an empty table of customer work."""
     return CustomerWork(clock=clock)
 
 
-def asked(work: CustomerWork, customer: str) -> float:
-    """Tell what a customer asked."""
+def requested_work(work: CustomerWork, customer: str) -> float:
+    """Return the work that a customer requested."""
     return work.read(POOL)[customer].asked
 
 
@@ -31,9 +31,9 @@
     work.note(POOL, 'aker', Work(asked=4000, given=2000))
     clock.advance(HALF_LIFE_MS)
     work.note(POOL, 'aker', Work(asked=1000))
-    known = work.read(POOL)['aker']
-    assert known.asked == pytest.approx(3000)
-    assert known.given == pytest.approx(1000)
+    decayed = work.read(POOL)['aker']
+    assert decayed.asked == pytest.approx(3000)
+    assert decayed.given == pytest.approx(1000)
 
 
 def test_work_of_pools_is_apart(work: CustomerWork):
@@ -55,7 +55,7 @@
 
 def test_work_that_was_told_is_not_told_again(work: CustomerWork):
     work.take_from_peer(POOL, 'aker', 4000, 2000)
-    assert asked(work, 'aker') == 4000
+    assert requested_work(work, 'aker') == 4000
     assert not work.take_untold()
 
 
@@ -65,15 +65,15 @@
         clock.advance(HALF_LIFE_MS)
         work.note(POOL, 'bryn', Work(asked=4000))
     assert list(work.read(POOL)) == ['bryn']
-    assert asked(work, 'bryn') == pytest.approx(8000, rel=0.01)
+    assert requested_work(work, 'bryn') == pytest.approx(8000, rel=0.01)
 
 
 def test_customers_are_bounded_and_the_largest_are_kept(work: CustomerWork):
     work.note(POOL, 'aker', Work(asked=90_000))
-    for number in range(2 * MOST_CUSTOMERS):
+    for number in range(2 * MAX_CUSTOMERS):
         work.note(POOL, f'customer-{number}', Work(asked=1000))
-        assert number % 1000 or len(work.read(POOL)) <= MOST_CUSTOMERS
-    assert asked(work, 'aker') == 90_000
+        assert number % 1000 or len(work.read(POOL)) <= MAX_CUSTOMERS
+    assert requested_work(work, 'aker') == 90_000
 
 
 def test_work_is_settled_once_it_was_heard_of_for_a_half_life(
@@ -87,10 +87,10 @@
 
 
 def test_customer_that_comes_to_a_full_pool_is_kept(work: CustomerWork):
-    for number in range(MOST_CUSTOMERS):
+    for number in range(MAX_CUSTOMERS):
         work.note(POOL, f'customer-{number}', Work(asked=1000))
     work.note(POOL, 'aker', Work(asked=90_000))
-    assert asked(work, 'aker') == 90_000
+    assert requested_work(work, 'aker') == 90_000
 
 
 def test_work_after_a_quiet_time_is_settled_anew(
--- a/wingfall/gateway/knowledge/customer_work.py
+++ b/wingfall/gateway/knowledge/customer_work.py
@@ -1,7 +1,8 @@
-"""How much work customers asked of pools and were given lately.
+"""Recent work that customers requested from pools and were given.
 
-Owns two fading sums for each customer of each pool, over all gateways. Work is
-in tokens, those of an answer weighed by what they cost beside a prompt's.
+Holds two decaying sums for each customer of each pool, over all gateways. Work
+is in tokens, with answer tokens weighted by their cost relative to prompt
+tokens.
 """
 
 from __future__ import annotations
@@ -14,30 +15,30 @@
 
     from wingfall.clock import Clock
 
-# Work of one token of an answer, in tokens read. An engine puts a token of each
-# stream beside each piece that it reads, which lengthens that step by as much
-# as a few tokens of a prompt do.
+# Work of one answer token, in prefill tokens. An engine adds a token of each
+# stream to each prefill step, which lengthens the step by as much as a few
+# prompt tokens do.
 ANSWER_TOKEN_WORK: Final = 5
-# Milliseconds after which work counts half: longer than prompts wait, shorter
+# Time in which the weight of work halves: longer than prompts wait, shorter
 # than a burst.
 _HALF_LIFE_MS: Final = 2000
-# Milliseconds between two times at which faded customers are forgotten.
-_SWEEP_MS: Final = 10_000
-# Tokens below which a customer is forgotten: less than any prompt.
-_FORGOTTEN_TOKENS: Final = 10
-# Customers of one pool that are kept: bounds memory, and the time in which
-# shares are worked out.
-_MOST_CUSTOMERS: Final = 15_000
+# Time between two removals of customers whose work has decayed.
+_SWEEP_INTERVAL_MS: Final = 10_000
+# A customer with less work is removed; the bound is less than any prompt.
+_MIN_RETAINED_TOKENS: Final = 10
+# Maximum number of customers of one pool: bounds memory and the time to
+# compute shares.
+_MAX_CUSTOMERS: Final = 15_000
 
 
-def prompt_work(unread_tokens: int, output_tokens: int) -> float:
-    """Tell the work of a prompt.
+def prompt_work(prefill_tokens: int, output_tokens: int) -> float:
+    """Return the work of a prompt.
 
-    :param unread_tokens: what an engine reads for it.
-    :param output_tokens: likely length of its answer.
-    :returns: the work in tokens read.
+    :param prefill_tokens: prompt tokens that an engine has to prefill.
+    :param output_tokens: expected length of the answer in tokens.
+    :returns: the work in prefill tokens.
     """
-    return unread_tokens + output_tokens * ANSWER_TOKEN_WORK
+    return prefill_tokens + output_tokens * ANSWER_TOKEN_WORK
 
 
 @final
@@ -47,10 +48,10 @@
     __slots__ = ('asked', 'given')
 
     def __init__(self, *, asked: float = 0, given: float = 0) -> None:
-        """Describe the work.
+        """Initialize the work.
 
-        :param asked: of all prompts, also of refused ones.
-        :param given: of the prompts that were sent to an engine.
+        :param asked: tokens of all prompts, including refused prompts.
+        :param given: tokens of the prompts that were sent to an engine.
         """
         self.asked = asked
         self.given = given
@@ -58,8 +59,8 @@
     def add(self, other: Work, factor: float = 1) -> None:
         """Add work.
 
-        :param other: the work.
-        :param factor: how much of it is added.
+        :param other: the work to add.
+        :param factor: factor by which the added work is multiplied.
         """
         self.asked += other.asked * factor
         self.given += other.given * factor
@@ -67,82 +68,83 @@
 
 @final
 class PoolWork:
-    """Work of the customers of one pool, as it was at one moment."""
+    """Decaying work of the customers of one pool."""
 
-    __slots__ = ('_at_ms', '_by_customer', '_since_ms')
+    __slots__ = ('_scaled_to_ms', '_by_customer', '_recorded_since_ms')
 
     def __init__(self, *, now_ms: int) -> None:
-        """Start without work.
+        """Create a pool without work.
 
-        :param now_ms: the time.
+        :param now_ms: current clock time in milliseconds.
         """
-        # All sums are kept as they would be at this time, so that none has to
-        # be changed only because time goes on.
-        self._at_ms = now_ms
-        self._since_ms = now_ms
+        # All sums are scaled to this time, so that decay needs no update of
+        # stored sums.
+        self._scaled_to_ms = now_ms
+        self._recorded_since_ms = now_ms
         self._by_customer: dict[str, Work] = {}
 
     def __len__(self) -> int:
-        """Count the customers that are kept."""
+        """Return the number of customers with recorded work."""
         return len(self._by_customer)
 
     def is_settled(self, now_ms: int) -> bool:
-        """Tell whether work is known for long enough to be compared.
+        """Check if work is recorded for long enough to be compared.
 
-        :param now_ms: the time.
-        :returns: whether it is known for a half-life.
+        :param now_ms: current clock time in milliseconds.
+        :returns: whether work is recorded for at least a half-life.
         """
-        return now_ms - self._since_ms >= _HALF_LIFE_MS
+        return now_ms - self._recorded_since_ms >= _HALF_LIFE_MS
 
     def add(self, customer: str, work: Work, now_ms: int) -> None:
         """Add work of a customer.
 
-        :param customer: its name.
-        :param work: the work.
-        :param now_ms: the time.
+        :param customer: name of the customer.
+        :param work: the work to add.
+        :param now_ms: current clock time in milliseconds.
         """
-        if now_ms - self._at_ms >= _SWEEP_MS:
+        if now_ms - self._scaled_to_ms >= _SWEEP_INTERVAL_MS:
             self._sweep(now_ms)
         known = self._by_customer.get(customer)
         if known is None:
-            self._bound()
+            self._remove_smallest()
             known = Work()
             self._by_customer[customer] = known
-        known.add(work, 1 / self._left(now_ms))
+        known.add(work, 1 / self._decay_factor(now_ms))
 
     def read(self, now_ms: int) -> Iterator[tuple[str, Work]]:
-        """Read what is left of all work.
+        """Return the decayed work of all customers.
 
-        :param now_ms: the time.
-        :returns: customers and their work.
+        :param now_ms: current clock time in milliseconds.
+        :returns: pairs of a customer's name and its work.
         """
-        left = self._left(now_ms)
+        factor = self._decay_factor(now_ms)
         for customer, work in self._by_customer.items():
             yield (
                 customer,
-                Work(asked=work.asked * left, given=work.given * left),
+                Work(asked=work.asked * factor, given=work.given * factor),
             )
 
-    def _left(self, now_ms: int) -> float:
-        return 2 ** ((self._at_ms - now_ms) / _HALF_LIFE_MS)
+    def _decay_factor(self, now_ms: int) -> float:
+        return 2 ** ((self._scaled_to_ms - now_ms) / _HALF_LIFE_MS)
 
     def _sweep(self, now_ms: int) -> None:
         self._by_customer = {
             customer: work
             for customer, work in self.read(now_ms)
-            if work.asked >= _FORGOTTEN_TOKENS
+            if work.asked >= _MIN_RETAINED_TOKENS
         }
-        self._at_ms = now_ms
+        self._scaled_to_ms = now_ms
         if not self._by_customer:
-            # What comes now tells nothing of before.
-            self._since_ms = now_ms
+            # Later work gives no information on the time before.
+            self._recorded_since_ms = now_ms
 
-    def _bound(self) -> None:
-        if len(self._by_customer) < _MOST_CUSTOMERS:
+    def _remove_smallest(self) -> None:
+        if len(self._by_customer) < _MAX_CUSTOMERS:
             return
-        # By halves, so that a pool at the bound isn't sorted at each prompt.
+        # Removes half of the customers at once, so that a pool at the bound
+        # isn't sorted at each prompt.
         largest = heapq.nlargest(
-            _MOST_CUSTOMERS // 2,
+            _MAX_CUSTOMERS // 2,
             self._by_customer.items(),
             key=lambda entry: entry[1].asked,
         )
@@ -151,56 +153,56 @@
 
 @final
 class CustomerWork:
-    """Work of each customer of each pool, fading."""
+    """Decaying work of each customer of each pool."""
 
-    __slots__ = ('_clock', '_pools', '_untold')
+    __slots__ = ('_clock', '_pools', '_unreported')
 
     def __init__(self, *, clock: Clock) -> None:
-        """Start without work.
+        """Create an empty table.
 
-        :param clock: the time, by which past work fades.
+        :param clock: the clock by which past work decays.
         """
         self._clock = clock
         self._pools: dict[str, PoolWork] = {}
-        self._untold: dict[tuple[str, str], Work] = {}
+        self._unreported: dict[tuple[str, str], Work] = {}
 
     def note(self, pool: str, customer: str, work: Work) -> None:
-        """Count work that this gateway is asked or gives.
+        """Record work that was requested from or given by this gateway.
 
         :param pool: name of the pool.
         :param customer: name of the customer, empty for public routes.
-        :param work: the work.
+        :param work: the work to add.
         """
-        self._untold.setdefault((pool, customer), Work()).add(work)
+        self._unreported.setdefault((pool, customer), Work()).add(work)
         self._add(pool, customer, work)
 
     def take_from_peer(
         self, pool: str, customer: str, asked: int, given: int
     ) -> None:
-        """Count work that another gateway was asked or gave.
+        """Merge work that another gateway reports.
 
         :param pool: name of the pool.
         :param customer: name of the customer.
-        :param asked: tokens of all its prompts.
-        :param given: tokens of those that were sent to an engine.
+        :param asked: tokens of all prompts of the customer there.
+        :param given: tokens of the prompts that were sent to an engine.
         """
         self._add(pool, customer, Work(asked=asked, given=given))
 
     def take_untold(self) -> list[list[Any]]:
-        """Take what peers have not heard of, as in a heartbeat.
+        """Return and clear the work not yet reported to peers.
 
-        :returns: for each pool and customer their names, the tokens that were
-            asked and those that were given.
+        :returns: for each pool and customer, a list of both names, the
+            requested tokens and the given tokens, in the form of a heartbeat.
         """
-        untold = self._untold
-        self._untold = {}
+        unreported = self._unreported
+        self._unreported = {}
         return [
             [pool, customer, round(work.asked), round(work.given)]
-            for (pool, customer), work in untold.items()
+            for (pool, customer), work in unreported.items()
         ]
 
     def read(self, pool: str) -> dict[str, Work]:
-        """Read what is left of the work of a pool's customers.
+        """Return the decayed work of a pool's customers.
 
         :param pool: name of the pool.
         :returns: the work by customer.
@@ -209,10 +211,10 @@
         return {} if known is None else dict(known.read(self._clock.now_ms()))
 
     def is_settled(self, pool: str) -> bool:
-        """Tell whether work was heard of for long enough to be compared.
+        """Check if work of a pool is recorded for long enough to be compared.
 
         :param pool: name of the pool.
-        :returns: whether it was for a half-life.
+        :returns: whether work is recorded for at least a half-life.
         """
         known = self._pools.get(pool)
         return known is not None and known.is_settled(self._clock.now_ms())
