--- a/wingfall/gateway/calls/__init__.py
+++ b/wingfall/gateway/calls/__init__.py
@@ -1,4 +1,4 @@
-"""The way of one call: taken in, placed, attempted, answered.
+"""Handling of a call: admission, placement, attempts and the answer.
 
-Asks the rules, uses connections to endpoints, and writes to a caller's reply.
+Applies the rules, uses connections to endpoints and writes the caller's reply.
 """
--- a/wingfall/gateway/calls/attempt.py
+++ b/wingfall/gateway/calls/attempt.py
@@ -1,8 +1,8 @@
-"""One attempt: a request sent to one endpoint, and its answer read.
+"""One attempt: sends a request to an endpoint and reads the answer.
 
-Owns the connection while it runs; gives it back after a whole answer and closes
-it otherwise, so that the endpoint stops working. Events of a stream pass on as
-soon as they are whole.
+Owns the connection during the attempt. Returns the connection for reuse after a
+complete answer and closes it otherwise, so that the endpoint stops the run.
+Forwards each event of a stream as soon as it is complete.
 """
 
 from __future__ import annotations
@@ -40,15 +40,14 @@
     from wingfall.gateway.model.call import Call, Headers
 
 _EVENT_STREAM: Final = b'text/event-stream'
-_KEEP_ALIVE: Final = re.compile(rb'timeout=(\d+)')
-# Bytes of an answer that is held whole, so that one can't fill the memory.
-# Twice the largest request body.
-_MAX_WHOLE_BYTES: Final = 8_388_608
+_KEEP_ALIVE_TIMEOUT: Final = re.compile(rb'timeout=(\d+)')
+# Limits the memory of a buffered answer. Twice the largest request body.
+_MAX_ANSWER_BYTES: Final = 8_388_608
 
 
 @final
 class Attempt:
-    """Sends a call to an endpoint and reads the answer."""
+    """A call sent to an endpoint, and the reading of its answer."""
 
     __slots__ = (
         '_binding',
@@ -75,17 +74,17 @@
         on_output: Callable[[], None],
         on_signals: Callable[[AnswerSignals, int], None],
     ) -> None:
-        """Prepare a sending.
+        """Create an attempt that is not sent yet.
 
-        :param call: the request.
-        :param destination: where it goes, and what goes with it.
-        :param reply: takes the events of a stream.
+        :param call: the call to send.
+        :param destination: endpoint, cache source and backup of the call.
+        :param reply: receives the events of a stream.
         :param binding: translates the platform's headers.
         :param connections: connections to endpoints.
-        :param now_ms: reads the clock.
-        :param on_output: called whenever events of a stream have come.
-        :param on_signals: called with what an answer says of its endpoint,
-            and when its request was sent.
+        :param now_ms: returns the time in milliseconds.
+        :param on_output: called whenever events of a stream arrive.
+        :param on_signals: called with the endpoint's signals in an answer and
+            the time in milliseconds at which the request was sent.
         """
         self._call = call
         self._destination = destination
@@ -101,19 +100,21 @@
     def run(self, limits: AttemptLimits) -> AttemptOutcome:
         """Send the request and read its answer.
 
-        :param limits: how long it may take.
-        :returns: how it ended; the connection is kept or closed by then.
+        :param limits: the time limits of the attempt.
+        :returns: the outcome; the connection is already released or closed.
         """
         try:
             return self._exchange(limits)
         except NotConnectedError as error:
-            held = isinstance(error, HeldError)
-            end = AttemptEnd.held if held else AttemptEnd.not_sent
+            is_withheld = isinstance(error, HeldError)
+            end = AttemptEnd.held if is_withheld else AttemptEnd.not_sent
             return AttemptOutcome(end=end, reason=str(error))
         except AnswerBrokenError as error:
-            return AttemptOutcome(end=self._broken(), reason=str(error))
+            return AttemptOutcome(end=self._broken_end(), reason=str(error))
         except AnswerLateError:
-            return AttemptOutcome(end=self._late(), reason='no bytes in time')
+            return AttemptOutcome(
+                end=self._late_end(), reason='no bytes in time'
+            )
         finally:
             if self._connection is not None:
                 self._connection.close()
@@ -130,13 +131,13 @@
         connection.send(
             call.head.method,
             call.head.target,
-            self._binding.endpoint_headers(call, self._sending(limits)),
+            self._binding.endpoint_headers(call, self._make_sending(limits)),
             call.body,
         )
         response = connection.receive(limits.first_byte_ms - self._now_ms())
         return self._read_response(response, limits)
 
-    def _sending(self, limits: AttemptLimits) -> Sending:
+    def _make_sending(self, limits: AttemptLimits) -> Sending:
         last_event_id = self._reply.last_event_id
         return Sending(
             endpoint=self._destination.endpoint,
@@ -155,45 +156,47 @@
         headers = response.headers.raw_items()
         head = self._binding.read_answer(response.status_code, headers)
         if head.call_id != self._call.call_id and not head.not_run:
-            raise AnswerBrokenError('an answer to another request')
+            raise AnswerBrokenError(
+                'the answer has the call id of another request'
+            )
         if not head.valid:
-            raise AnswerBrokenError('an answer in an unknown encoding')
-        # Whatever becomes of the answer: an endpoint in need may say so in any
-        # of them, and all gateways must hear it.
+            raise AnswerBrokenError('the answer has an unknown encoding')
+        # Reported whether or not the answer is used: an endpoint may signal in
+        # any answer that it needs relief, and all gateways must receive that.
         self._on_signals(head.signals, self._sent_ms)
         self._note_keep_alive(headers)
         if _is_stream(response):
             return self._read_stream(response, limits)
         if self._reply.started:
-            # A stream can't go on with anything but a stream.
+            # A started stream can only be continued by another stream.
             end = AttemptEnd.not_run if head.not_run else AttemptEnd.cut
             return AttemptOutcome(end=end, reason=str(response.status_code))
-        return self._read_whole(response, head, limits)
+        return self._buffer_answer(response, head, limits)
 
-    def _read_whole(
+    def _buffer_answer(
         self,
         response: h11.Response,
         head: AnswerHead,
         limits: AttemptLimits,
     ) -> AttemptOutcome:
-        pieces: list[bytes] = []
+        chunks: list[bytes] = []
         size = 0
         while True:
             event = self._receive(limits)
             if isinstance(event, h11.EndOfMessage):
                 break
-            pieces.append(bytes(event.data))
+            chunks.append(bytes(event.data))
             size += len(event.data)
-            if size > _MAX_WHOLE_BYTES:
-                raise AnswerBrokenError('an answer beyond all bounds')
-        self._give_back()
+            if size > _MAX_ANSWER_BYTES:
+                raise AnswerBrokenError('the answer is too large')
+        self._release_connection()
         answer = WholeAnswer(
             status=response.status_code,
             headers=self._binding.caller_headers(response.headers.raw_items()),
-            body=b''.join(pieces),
+            body=b''.join(chunks),
         )
         return AttemptOutcome(
-            end=_classify(head),
+            end=_classify_answer(head),
             answer=answer,
             reason=str(response.status_code),
         )
@@ -210,13 +213,13 @@
                 break
             events = splitter.feed(bytes(event.data))
             if events:
-                self._pass_on(response, events, splitter.last_event_id)
+                self._forward_events(response, events, splitter.last_event_id)
         if splitter.torn or not self._reply.started:
             raise AnswerBrokenError('the stream ended inside an event')
-        self._give_back()
+        self._release_connection()
         return AttemptOutcome(end=AttemptEnd.answered, reason='stream')
 
-    def _pass_on(
+    def _forward_events(
         self,
         response: h11.Response,
         events: bytes,
@@ -233,13 +236,13 @@
 
     def _receive(self, limits: AttemptLimits) -> h11.Event:
         if self._connection is None:
-            raise AnswerBrokenError('there is no connection')
+            raise AnswerBrokenError('the attempt has no connection')
         until_ms = limits.deadline_ms
         if self._call.route.streaming and not self._reply.started:
             until_ms = limits.first_byte_ms
         return self._connection.receive(until_ms - self._now_ms())
 
-    def _give_back(self) -> None:
+    def _release_connection(self) -> None:
         connection = self._connection
         self._connection = None
         if connection is not None:
@@ -247,25 +250,27 @@
 
     def _note_keep_alive(self, headers: Headers) -> None:
         for name, text in headers:
-            told = _KEEP_ALIVE.search(text)
-            if name.lower() == b'keep-alive' and told and self._connection:
-                self._connection.note_keep_alive(int(told.group(1)))
+            match = _KEEP_ALIVE_TIMEOUT.search(text)
+            if name.lower() == b'keep-alive' and match and self._connection:
+                self._connection.note_keep_alive(int(match.group(1)))
 
-    def _broken(self) -> AttemptEnd:
+    def _broken_end(self) -> AttemptEnd:
         return AttemptEnd.cut if self._reply.started else AttemptEnd.lost
 
-    def _late(self) -> AttemptEnd:
+    def _late_end(self) -> AttemptEnd:
         return AttemptEnd.cut if self._reply.started else AttemptEnd.late
 
 
 def _is_stream(response: h11.Response) -> bool:
-    kinds = [text for name, text in response.headers if name == b'content-type']
+    content_types = [
+        text for name, text in response.headers if name == b'content-type'
+    ]
     return response.status_code == http.HTTPStatus.OK and any(
-        kind.startswith(_EVENT_STREAM) for kind in kinds
+        content_type.startswith(_EVENT_STREAM) for content_type in content_types
     )
 
 
-def _classify(head: AnswerHead) -> AttemptEnd:
+def _classify_answer(head: AnswerHead) -> AttemptEnd:
     if head.not_run:
         return AttemptEnd.not_run
     if head.retry_elsewhere:
--- a/wingfall/gateway/calls/attempt_log.py
+++ b/wingfall/gateway/calls/attempt_log.py
@@ -1,7 +1,7 @@
-"""The log line of an attempt: its end, and the inputs that placed it.
+"""The log line of an attempt: its outcome and the inputs of its placement.
 
-``wingfall losses`` and ``wingfall trace`` read this line; its sentence and the
-names of its fields are fixed.
+``wingfall losses`` and ``wingfall trace`` parse this line, so its sentence and
+field names must not change.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     call: Call,
     destination: Destination,
     outcome: AttemptOutcome,
-    gaps: TokenGapWatch,
+    gap_watch: TokenGapWatch,
     number: int,
     started_ms: int,
     now_ms: int,
@@ -33,14 +33,15 @@
     """Log the end of an attempt.
 
     :param call: the call.
-    :param destination: where it was sent, and why.
-    :param outcome: how the attempt ended.
-    :param gaps: the token gaps of its stream.
-    :param number: which attempt it was, from 1.
-    :param started_ms: when it began, by the clock.
-    :param now_ms: when it ended.
-    :param estimate_ms: milliseconds to its first event by what was to be read.
-    :param first_byte_ms: when the caller got the first byte, None if never.
+    :param destination: the endpoint and the inputs that decided it.
+    :param outcome: the outcome of the attempt.
+    :param gap_watch: the token gaps of the attempt's stream.
+    :param number: number of the attempt in its call, from 1.
+    :param started_ms: time in milliseconds at which the attempt began.
+    :param now_ms: time in milliseconds at which it ended.
+    :param estimate_ms: estimated prefill before the first event, milliseconds.
+    :param first_byte_ms: time in milliseconds at which the first byte was sent
+        to the caller, None if none was.
     """
     first_ms = None
     if first_byte_ms is not None:
@@ -61,19 +62,19 @@
         ms=now_ms - started_ms,
         left_ms=call.deadline_ms - now_ms,
         first_ms=first_ms,
-        gap_ms=gaps.longest_ms,
-        gap_reading=gaps.longest_reading_tokens,
-        **_show_work(destination.candidate),
+        gap_ms=gap_watch.longest_ms,
+        gap_reading=gap_watch.longest_reading_tokens,
+        **_describe_load(destination.candidate),
         unread=destination.load.reading_tokens,
         start_ms=int(estimate_ms),
         source=source.name if source else None,
         backup=backup.name if backup else None,
         continues=destination.continues,
-        **_show_behaviour(destination.candidate),
+        **_describe_performance(destination.candidate),
     )
 
 
-def _show_work(candidate: Candidate) -> dict[str, Any]:
+def _describe_load(candidate: Candidate) -> dict[str, Any]:
     return {
         'running': candidate.running,
         'reading': candidate.reading_tokens,
@@ -82,7 +83,7 @@
     }
 
 
-def _show_behaviour(candidate: Candidate) -> dict[str, Any]:
+def _describe_performance(candidate: Candidate) -> dict[str, Any]:
     speed = candidate.speed
     return {
         'recent': int(candidate.long_reads),
--- a/wingfall/gateway/calls/attempt_outcome.py
+++ b/wingfall/gateway/calls/attempt_outcome.py
@@ -1,4 +1,4 @@
-"""What bounds an attempt, and what became of it."""
+"""Time limits and outcome of an attempt."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
     from wingfall.gateway.model.call import Headers
 
 
-_FIRST_ERROR: Final = http.HTTPStatus.BAD_REQUEST
+_MIN_ERROR_STATUS: Final = http.HTTPStatus.BAD_REQUEST
 
 
 @final
 class WholeAnswer:
-    """An answer read to its end."""
+    """A complete answer, buffered in memory."""
 
     __slots__ = ('body', 'headers', 'status')
 
     def __init__(self, *, status: int, headers: Headers, body: bytes) -> None:
-        """Keep an answer.
+        """Create an answer.
 
-        :param status: its status.
-        :param headers: the headers that the caller shall see.
-        :param body: its body.
+        :param status: the HTTP status.
+        :param headers: the headers to send to the caller.
+        :param body: the complete body.
         """
         self.status = status
         self.headers = headers
@@ -34,7 +34,7 @@
 
 @final
 class AttemptOutcome:
-    """How an attempt ended, and the whole answer if there is one."""
+    """The end of an attempt, with the buffered answer if there is one."""
 
     __slots__ = ('answer', 'end', 'left', 'reason')
 
@@ -46,12 +46,12 @@
         reason: str = '',
         left: bool = False,
     ) -> None:
-        """Describe the end.
+        """Create an outcome.
 
-        :param end: how it ended.
-        :param answer: an answer that isn't passed on yet.
-        :param reason: what was seen, for logs.
-        :param left: whether this side gave it up, not the endpoint.
+        :param end: the kind of end.
+        :param answer: an answer that has not been forwarded yet.
+        :param reason: the observed cause, for logs.
+        :param left: whether this side, not the endpoint, gave up.
         """
         self.end = end
         self.answer = answer
@@ -60,26 +60,27 @@
 
     @property
     def succeeded(self) -> bool:
-        """Whether the endpoint has run the request to a good end.
+        """Whether the endpoint has run the request successfully.
 
-        A failure is no proof of that: an endpoint may fail requests unread.
+        A failed answer doesn't prove a run: an endpoint may fail requests
+        without reading them.
         """
         if self.end is not AttemptEnd.answered:
             return False
-        return self.answer is None or self.answer.status < _FIRST_ERROR
+        return self.answer is None or self.answer.status < _MIN_ERROR_STATUS
 
 
 @final
 class AttemptLimits:
-    """Until when an attempt may take."""
+    """Deadlines of an attempt."""
 
     __slots__ = ('deadline_ms', 'first_byte_ms')
 
     def __init__(self, *, deadline_ms: int, first_byte_ms: int) -> None:
-        """Set the limits, both readings of the clock.
+        """Create the limits, both times of the clock in milliseconds.
 
-        :param deadline_ms: when the call ends.
-        :param first_byte_ms: when the answer must have begun.
+        :param deadline_ms: deadline of the call.
+        :param first_byte_ms: deadline of the first byte of the answer.
         """
         self.deadline_ms = deadline_ms
         self.first_byte_ms = first_byte_ms
--- a/wingfall/gateway/calls/attempt_tracker.py
+++ b/wingfall/gateway/calls/attempt_tracker.py
@@ -1,7 +1,7 @@
-"""Notes what an attempt does to an endpoint, and what it shows of it.
+"""Records the load and the observations of an attempt at an endpoint.
 
-Owns the attempt's entry in the load table and the watch over its token gaps;
-tells the prefix caches, the engines' speeds and the endpoints' health.
+Owns the attempt's entry in the load table and the measurement of its token
+gaps; updates the prefix caches, the engines' speeds and the endpoints' health.
 """
 
 from __future__ import annotations
@@ -22,31 +22,31 @@
     from wingfall.gateway.model.call import Call
     from wingfall.gateway.state import GatewayState
 
-# Multiples of the estimated start after which a prompt counts as read. The
-# first event tells exactly, so this only bounds the wait of other prompts for a
-# shared part.
-_READ_SLACK: Final = 2
-# Ends by which the endpoint may have crashed.
-_BROKEN: Final = frozenset((AttemptEnd.lost, AttemptEnd.cut))
-# Ends by which a plain endpoint has begun to run the request, as far as can be
-# told: it answered, or its answer was lost.
-_MAY_HAVE_RUN: Final = frozenset(
+# Multiple of the estimated start after which the prefill of a prompt counts as
+# complete. The first event shows the exact end, so this only limits how long
+# other prompts wait for a shared part.
+_PREFILL_TIMEOUT_FACTOR: Final = 2
+# Ends that a crash of the endpoint may have caused.
+_BROKEN_ENDS: Final = frozenset((AttemptEnd.lost, AttemptEnd.cut))
+# Ends after which a plain endpoint is assumed to have begun the request: it
+# answered, or its answer was lost.
+_POSSIBLY_RUN_ENDS: Final = frozenset(
     (AttemptEnd.answered, AttemptEnd.failed, AttemptEnd.lost),
 )
 
 
 @final
 class AttemptTracker:
-    """Follows one attempt from its sending to its end."""
+    """Records of one attempt, from its sending to its end."""
 
     __slots__ = (
         '_call',
         '_destination',
         '_estimate_ms',
-        '_gaps',
+        '_gap_watch',
         '_load_entry',
         '_number',
-        '_output_ms',
+        '_first_output_ms',
         '_started_ms',
         '_state',
     )
@@ -59,26 +59,26 @@
         destination: Destination,
         number: int,
     ) -> None:
-        """Count the attempt's work from now on.
+        """Create the records and add the attempt to the endpoint's load.
 
-        :param state: what the gateway knows.
+        :param state: state of the gateway.
         :param call: the call.
-        :param destination: where it is sent.
-        :param number: which attempt it is, from 1.
+        :param destination: the endpoint that the call is sent to.
+        :param number: number of the attempt in its call, from 1.
         """
         name, knowledge = destination.endpoint.name, state.knowledge
         self._state = state
         self._call = call
         self._destination = destination
         self._number = number
-        # By the engine's speed as it was known when the prompt was sent.
+        # Estimated by the engine's speed at the time of sending.
         self._estimate_ms = destination.start_ms
         self._load_entry = knowledge.load.start(name, destination.load)
         self._note_prompt()
         self._started_ms = state.clock.now_ms()
-        # When the first events of this attempt came.
-        self._output_ms: int | None = None
-        self._gaps = TokenGapWatch(
+        # Time in milliseconds of the first events of this attempt.
+        self._first_output_ms: int | None = None
+        self._gap_watch = TokenGapWatch(
             endpoint=name,
             load=knowledge.load,
             clock=state.clock,
@@ -86,49 +86,49 @@
         )
 
     def note_output(self) -> None:
-        """Note that events of the stream have come."""
-        self._gaps.note_event()
-        if self._output_ms is None:
-            self._output_ms = self._state.clock.now_ms()
-            self._note_begun(self._output_ms)
+        """Record the arrival of events of the stream."""
+        self._gap_watch.note_event()
+        if self._first_output_ms is None:
+            self._first_output_ms = self._state.clock.now_ms()
+            self._note_usage(self._first_output_ms)
         if not self._load_entry.begin_output():
             return
         name, prompt = self._destination.endpoint.name, self._call.head.prompt
         if prompt is not None:
             self._state.knowledge.caches.confirm_read(name, prompt)
-        self._learn_read_rate()
-        self._learn_start()
+        self._update_prefill_rate()
+        self._update_start_estimates()
 
     def note_signals(self, signals: AnswerSignals, sent_ms: int) -> None:
-        """Note what the head of the answer says of the endpoint.
+        """Record the endpoint's signals in the head of the answer.
 
-        :param signals: what it says.
-        :param sent_ms: when the request was sent.
+        :param signals: the signals.
+        :param sent_ms: time in milliseconds at which the request was sent.
         """
-        known = self._state.knowledge.signals
+        signals_table = self._state.knowledge.signals
         name = self._destination.endpoint.name
-        for change in known.note_answer(name, signals, sent_ms):
+        for change in signals_table.note_answer(name, signals, sent_ms):
             self._state.metrics.decisions.inc(
                 {'part': 'signals', 'reason': change},
             )
 
     def end(self, outcome: AttemptOutcome, reply: Reply) -> None:
-        """Note the end of the attempt, whatever ended it, and log it.
+        """Record and log the end of the attempt, whatever its cause.
 
-        :param outcome: how it ended.
-        :param reply: the answer, as far as it was written.
+        :param outcome: the outcome of the attempt.
+        :param reply: the answer to the caller, as far as it was written.
         """
         name, knowledge = self._destination.endpoint.name, self._state.knowledge
         self._load_entry.end()
         prompt = self._call.head.prompt
         if prompt is not None:
             knowledge.caches.drop_unconfirmed(name, prompt)
-        self._gaps.end()
+        self._gap_watch.end()
         if outcome.end is AttemptEnd.answered:
             knowledge.health.note_success(name)
-        if self._call.head.prompt is None and outcome.end in _MAY_HAVE_RUN:
-            self._note_begun(self._started_ms)
-        self._note_survival(outcome)
+        if self._call.head.prompt is None and outcome.end in _POSSIBLY_RUN_ENDS:
+            self._note_usage(self._started_ms)
+        self._note_crash_evidence(outcome)
         self._state.metrics.decisions.inc(
             {'part': 'dispatch', 'reason': outcome.end},
         )
@@ -136,7 +136,7 @@
             call=self._call,
             destination=self._destination,
             outcome=outcome,
-            gaps=self._gaps,
+            gap_watch=self._gap_watch,
             number=self._number,
             started_ms=self._started_ms,
             now_ms=self._state.clock.now_ms(),
@@ -144,48 +144,50 @@
             first_byte_ms=reply.first_byte_ms if reply.started else None,
         )
 
-    def _note_begun(self, began_ms: int) -> None:
-        # Once a call, however many endpoints run it.
+    def _note_usage(self, started_ms: int) -> None:
+        # A call counts once, even if several endpoints run it.
         call, usage = self._call, self._state.usage
         if usage is None or call.begun or call.customer is None:
             return
         call.begun = True
-        usage.note(call.customer.name, began_ms)
+        usage.note(call.customer.name, started_ms)
 
-    def _note_survival(self, outcome: AttemptOutcome) -> None:
+    def _note_crash_evidence(self, outcome: AttemptOutcome) -> None:
         state, endpoint = self._state, self._destination.endpoint
         fingerprint = self._call.fingerprint
-        gave_up = outcome.left or outcome.end is AttemptEnd.late
+        is_abandoned = outcome.left or outcome.end is AttemptEnd.late
         if outcome.succeeded:
             state.knowledge.crashes.note_served(fingerprint)
-        elif gave_up and self._output_ms is None:
+        elif is_abandoned and self._first_output_ms is None:
             state.crash_watch.note_left(endpoint, fingerprint)
-        elif outcome.end in _BROKEN and not gave_up:
+        elif outcome.end in _BROKEN_ENDS and not is_abandoned:
             state.crash_watch.note_broken(
-                endpoint, fingerprint, self._output_for_ms()
+                endpoint, fingerprint, self._output_duration_ms()
             )
 
-    def _output_for_ms(self) -> int | None:
-        if self._output_ms is None:
+    def _output_duration_ms(self) -> int | None:
+        if self._first_output_ms is None:
             return None
-        return self._state.clock.now_ms() - self._output_ms
+        return self._state.clock.now_ms() - self._first_output_ms
 
     def _note_prompt(self) -> None:
         prompt, destination = self._call.head.prompt, self._destination
         if prompt is None or destination.continues:
             return
         name = destination.endpoint.name
-        uncached = destination.load.reading_tokens
-        self._state.knowledge.note_prompt_sent(name, uncached)
+        uncached_tokens = destination.load.reading_tokens
+        self._state.knowledge.note_prompt_sent(name, uncached_tokens)
         if self._number == 1:
             note_given(self._state, self._call, destination)
-        read_ms = int(self._estimate_ms * _READ_SLACK)
+        prefill_timeout_ms = int(self._estimate_ms * _PREFILL_TIMEOUT_FACTOR)
         self._state.knowledge.caches.note_sent(
-            SentPrompt(endpoint=name, parts=prompt.shared, unread=uncached),
-            self._state.clock.now_ms() + read_ms,
+            SentPrompt(
+                endpoint=name, parts=prompt.shared, unread=uncached_tokens
+            ),
+            self._state.clock.now_ms() + prefill_timeout_ms,
         )
 
-    def _learn_start(self) -> None:
+    def _update_start_estimates(self) -> None:
         destination = self._destination
         if self._call.head.prompt is None or destination.continues:
             return
@@ -197,14 +199,14 @@
             self._state.clock.now_ms() - self._started_ms,
         )
 
-    def _learn_read_rate(self) -> None:
-        waiting = self._destination.candidate.reading_tokens
-        own = self._destination.load.reading_tokens
+    def _update_prefill_rate(self) -> None:
+        pending_tokens = self._destination.candidate.reading_tokens
+        own_tokens = self._destination.load.reading_tokens
         endpoint = self._destination.endpoint
         self._state.knowledge.speeds.note_start(
             endpoint.name,
             endpoint.pool,
-            waiting + own,
+            pending_tokens + own_tokens,
             self._state.clock.now_ms() - self._started_ms,
-            waiting,
+            pending_tokens,
         )
