--- a/wingfall/gateway/calls/final_answer.py
+++ b/wingfall/gateway/calls/final_answer.py
@@ -1,6 +1,7 @@
-"""What a gateway writes, logs and counts when a call has its final answer.
+"""Response, log line and metrics of the final answer of a call.
 
-The lines are read by ``wingfall losses``; their sentences and fields are fixed.
+``wingfall losses`` parses the log lines, so their sentences and field names
+must not change.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
     from wingfall.gateway.model.call import Call, CallHead
     from wingfall.gateway.state import GatewayState
 
-_JSON: Final = (b'Content-Type', b'application/json')
+_JSON_CONTENT_TYPE: Final = (b'Content-Type', b'application/json')
 
 
 def send_refusal(
@@ -28,18 +29,18 @@
     refusal: Refusal,
     call: Call | None = None,
 ) -> None:
-    """Answer a call that no endpoint answered.
+    """Send, log and count a refusal of a call that no endpoint answered.
 
-    :param state: what the gateway knows.
-    :param reply: writes the answer.
+    :param state: state of the gateway.
+    :param reply: the answer to the caller.
     :param head: head of the request.
-    :param refusal: why there is no endpoint's answer.
-    :param call: the call, None if it wasn't accepted.
+    :param refusal: the reason for the refusal, with its status and code.
+    :param call: the call, None if it was not accepted.
     """
-    headers = [_JSON, *state.binding.refusal_headers(head)]
+    headers = [_JSON_CONTENT_TYPE, *state.binding.refusal_headers(head)]
     if refusal.retry_after_ms is not None:
-        seconds = refusal.retry_after_ms / MS_PER_S
-        headers.append((b'Retry-After', b'%.3f' % seconds))
+        retry_after_s = refusal.retry_after_ms / MS_PER_S
+        headers.append((b'Retry-After', b'%.3f' % retry_after_s))
     body = {
         'error': {
             'type': refusal.kind,
@@ -70,21 +71,21 @@
 
 
 def send_not_a_request(reply: Reply, status: int) -> None:
-    """Answer bytes that are no request of HTTP.
+    """Send an error response to bytes that are not an HTTP request.
 
-    :param reply: writes the answer.
+    :param reply: the answer to the caller.
     :param status: the HTTP status.
     """
     body = {'error': {'message': 'Not a request.'}}
-    reply.send_whole(status, [_JSON], orjson.dumps(body))
+    reply.send_whole(status, [_JSON_CONTENT_TYPE], orjson.dumps(body))
 
 
 def note_answer(state: GatewayState, call: Call, reply: Reply) -> None:
     """Log and count a call that ended without a refusal.
 
-    :param state: what the gateway knows.
+    :param state: state of the gateway.
     :param call: the call.
-    :param reply: its answer, as far as it was written.
+    :param reply: the answer to the caller, as far as it was written.
     """
     elapsed_ms = state.clock.now_ms() - call.arrived_ms
     started = reply.started
--- a/wingfall/gateway/calls/reply.py
+++ b/wingfall/gateway/calls/reply.py
@@ -1,7 +1,7 @@
-"""The answer to one caller: whole, or a stream of events.
+"""The answer to one caller: complete, or a stream of events.
 
-Owns what was written so far, by which a call knows whether it can still be
-answered otherwise, or where a stream goes on.
+Records what was written so far, which decides whether a call can still get a
+different answer and after which event a stream continues.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
     from wingfall.gateway.model.call import Headers
 
-# Reason phrases that are written; all other statuses go without one.
-_REASONS: Final = {
+# Reason phrases by status; other statuses are sent without a phrase.
+_REASON_PHRASES: Final = {
     status: status.phrase.encode()
     for status in (
         http.HTTPStatus.SERVICE_UNAVAILABLE,
@@ -27,18 +27,18 @@
 
 
 class EventWriter(Protocol):
-    """Writes events of h11 to the caller."""
+    """A function that writes h11 events to the caller."""
 
     def __call__(self, *events: h11.Event) -> None:
-        """Write events in one piece."""
+        """Write the events in a single send."""
 
 
 @final
 class Reply:
-    """Writes one answer; what is cut short never looks whole."""
+    """The answer to a call; a truncated answer never looks complete."""
 
     __slots__ = (
-        '_closing',
+        '_is_closing',
         '_last_event_ms',
         '_write',
         'finished',
@@ -57,14 +57,14 @@
         closing: Callable[[], bool],
         now_ms: Callable[[], int],
     ) -> None:
-        """Start without an answer.
+        """Create an answer of which nothing is written yet.
 
-        :param write: writes events to the caller.
-        :param closing: whether the connection ends with this answer.
-        :param now_ms: reads the clock.
+        :param write: writes h11 events to the caller.
+        :param closing: returns if the connection closes after the answer.
+        :param now_ms: returns the time in milliseconds.
         """
         self._write = write
-        self._closing = closing
+        self._is_closing = closing
         self.now_ms = now_ms
         self.started = False
         self.finished = False
@@ -72,21 +72,21 @@
         self.first_byte_ms = 0
         self.last_event_id: str | None = None
         self._last_event_ms: int | None = None
-        # Longest gap between events, also over a resumption; None until
-        # there were two.
+        # Longest time between two events in milliseconds, across resumptions
+        # too; None before the second event.
         self.longest_gap_ms: int | None = None
 
     def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write a whole answer.
+        """Write a complete answer.
 
-        :param status: its status.
-        :param headers: its headers without those that frame the body.
-        :param body: its body.
+        :param status: the HTTP status.
+        :param headers: the headers, without those that frame the body.
+        :param body: the body.
         """
         framed = [*headers, (b'Content-Length', b'%d' % len(body))]
-        self._begin(status)
+        self._note_start(status)
         self._write(
-            self._response(status, framed),
+            self._make_response(status, framed),
             h11.Data(data=body),
             h11.EndOfMessage(),
         )
@@ -95,18 +95,18 @@
     def start_stream(self, status: int, headers: Headers) -> None:
         """Write the head of a stream.
 
-        :param status: its status.
-        :param headers: its headers without those that frame the body.
+        :param status: the HTTP status.
+        :param headers: the headers, without those that frame the body.
         """
-        self._begin(status)
+        self._note_start(status)
         chunked = [*headers, (b'Transfer-Encoding', b'chunked')]
-        self._write(self._response(status, chunked))
+        self._write(self._make_response(status, chunked))
 
     def send_events(self, events: bytes, last_event_id: str | None) -> None:
-        """Write whole events.
+        """Write complete events.
 
-        :param events: the events.
-        :param last_event_id: id of the last of them.
+        :param events: the encoded events.
+        :param last_event_id: id of the last event, None if it has none.
         """
         self._write(h11.Data(data=events))
         self.last_event_id = last_event_id
@@ -117,20 +117,20 @@
         self._last_event_ms = now_ms
 
     def finish_stream(self) -> None:
-        """End a stream that is whole."""
+        """End a complete stream."""
         self._write(h11.EndOfMessage())
         self.finished = True
 
-    def _begin(self, status: int) -> None:
+    def _note_start(self, status: int) -> None:
         self.started = True
         self.status = status
         self.first_byte_ms = self.now_ms()
 
-    def _response(self, status: int, headers: Headers) -> h11.Response:
-        if self._closing():
+    def _make_response(self, status: int, headers: Headers) -> h11.Response:
+        if self._is_closing():
             headers = [*headers, (b'Connection', b'close')]
         return h11.Response(
             status_code=status,
             headers=headers,
-            reason=_REASONS.get(status, b''),
+            reason=_REASON_PHRASES.get(status, b''),
         )
