--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -1,4 +1,4 @@
-"""Event streams through a gateway."""
+"""Forwarding and placement of event streams by a gateway."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 @pytest.fixture
 def engine_site(gateway_site: GatewaySite) -> GatewaySite:
-    """Give a site of one gateway and two engines."""
+    """Return a site of one gateway and two engines."""
     gateway_site.add_server('one', 'engines')
     gateway_site.add_server('two', 'engines')
     gateway_site.add_gateway()
     return gateway_site
 
 
-def event_ids(body: bytes) -> list[int]:
-    """List the ids of a stream's events."""
+def parse_event_ids(body: bytes) -> list[int]:
+    """Return the ids of the events in the body of a stream."""
     return [
         int(line.removeprefix(b'id: '))
         for line in body.split(b'\n')
@@ -28,8 +28,8 @@
     ]
 
 
-def break_all(site: GatewaySite, fault: str) -> None:
-    """Make each engine break its next answer."""
+def inject_fault(site: GatewaySite, fault: str) -> None:
+    """Inject the fault into the next answer of each engine."""
     for server in site.servers.values():
         server.faults = [fault]
 
@@ -38,7 +38,7 @@
     answer = engine_site.ask('/stream/x', method='POST', **PROMPT)
     assert answer.status == 200
     assert answer.whole
-    assert event_ids(answer.body) == [1, 2, 3]
+    assert parse_event_ids(answer.body) == [1, 2, 3]
 
 
 def test_events_pass_as_they_arrive(engine_site: GatewaySite):
@@ -55,7 +55,7 @@
 def test_engine_gets_the_tier_and_the_prompt(engine_site: GatewaySite):
     engine_site.ask('/stream/x', method='POST', **PROMPT)
     (run,) = [run for each in engine_site.servers.values() for run in each.runs]
-    # The customer's own priority is above that of the one tier of routes.
+    # The customer's priority ranks above the only tier of routes.
     assert run.headers['x-request-priority'] == '0'
     assert run.headers['x-prompt-prefix'] == 'aa:200,bb:100'
 
@@ -69,7 +69,7 @@
         '/stream/x', method='POST', X_Attempt_Id='r1', **PROMPT
     )
     assert answer.whole
-    assert event_ids(answer.body) == [1, 2, 3, 4, 5, 6]
+    assert parse_event_ids(answer.body) == [1, 2, 3, 4, 5, 6]
     first, second = sorted(
         (run for each in engine_site.servers.values() for run in each.runs),
         key=lambda run: run.whole,
@@ -84,11 +84,11 @@
 
 
 def test_stream_that_may_not_be_resumed_is_cut(engine_site: GatewaySite):
-    break_all(engine_site, 'cut')
+    inject_fault(engine_site, 'cut')
     answer = engine_site.ask('/oneway/x', method='POST', **PROMPT)
     assert answer.status == 200
     assert not answer.whole
-    assert event_ids(answer.body) == [1, 2]
+    assert parse_event_ids(answer.body) == [1, 2]
     assert sum(len(each.runs) for each in engine_site.servers.values()) == 1
 
 
@@ -96,7 +96,7 @@
     answer = engine_site.ask(
         '/stream/x', method='POST', Last_Event_Id='1', **PROMPT
     )
-    assert event_ids(answer.body) == [2, 3]
+    assert parse_event_ids(answer.body) == [2, 3]
 
 
 def test_prompts_that_share_a_part_meet_at_one_engine(
@@ -122,12 +122,14 @@
         'X_Prompt_Prefix': 'aa:5000,own:100',
     }
     engine_site.ask('/stream/x', method='POST', **prompt)
-    (home,) = [each for each in engine_site.servers.values() if each.runs]
-    wait_until(lambda: caches_part(second, home.name, 'aa'))
+    (caching_engine,) = [
+        each for each in engine_site.servers.values() if each.runs
+    ]
+    wait_until(lambda: caches_part(second, caching_engine.name, 'aa'))
     caller = engine_site.caller(1)
     caller.send('/stream/x', method='POST', **prompt)
     assert caller.receive().whole
-    assert len(home.runs) == 2
+    assert len(caching_engine.runs) == 2
 
 
 def test_failure_before_the_first_event_is_not_seen(engine_site: GatewaySite):
--- a/tests/test_stream_continuation.py
+++ b/tests/test_stream_continuation.py
@@ -1,4 +1,4 @@
-"""Streams that go on at the engine that keeps a copy of their run."""
+"""Continuation of streams at the engine that has a backup of their run."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from standins.pool_server import PoolServerStandIn
 from tests.gateway_site import GatewaySite
 from tests.local_site import wait_until
-from tests.test_gateway_streams import event_ids
+from tests.test_gateway_streams import parse_event_ids
 from wingfall.gateway.rules.placement.stream_backup import (
     RunLength,
     back_up_long_answers,
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def backup_site(gateway_site: GatewaySite) -> GatewaySite:
-    """Give a site of two engines that keep copies of each other's runs."""
+    """Return a site of two engines that back up each other's runs."""
     gateway_site.config['services'][1]['engine']['backups'] = True
     gateway_site.write_config()
     for name in ('one', 'two'):
@@ -29,20 +29,22 @@
 
 
 def ask(site: GatewaySite, target: str = '/oneway/x', **changes: str):
-    """Ask for a stream, by default for one that may not be resumed."""
-    named = {**LONG_ANSWER, 'X_Attempt_Id': 'r1', **changes}
-    return site.ask(target, method='POST', **named)
+    """Request a stream, by default one that may not be resumed."""
+    headers = {**LONG_ANSWER, 'X_Attempt_Id': 'r1', **changes}
+    return site.ask(target, method='POST', **headers)
 
 
-def break_first(site: GatewaySite, *faults: str) -> None:
-    """Have the first run break, and further ones as told, at any engine."""
+def inject_faults(site: GatewaySite, *faults: str) -> None:
+    """Inject the faults into consecutive runs, shared by all engines."""
     shared = list(faults)
     for server in site.servers.values():
         server.faults = shared
 
 
-def engines(site: GatewaySite) -> tuple[PoolServerStandIn, PoolServerStandIn]:
-    """Give the engine that ran first and the other one."""
+def sort_engines(
+    site: GatewaySite,
+) -> tuple[PoolServerStandIn, PoolServerStandIn]:
+    """Return the engine of the first run, then the other engine."""
     first, other = site.servers.values()
     if not first.runs or (other.runs and not other.runs[0].whole):
         first, other = other, first
@@ -51,7 +53,7 @@
 
 def test_second_engine_is_named_to_keep_a_copy(backup_site: GatewaySite):
     assert ask(backup_site).whole
-    first, other = engines(backup_site)
+    first, other = sort_engines(backup_site)
     (run,) = first.runs
     assert run.headers['x-kv-backup'] == other.address
     assert not other.runs
@@ -73,7 +75,7 @@
     changes: dict[str, str],
 ):
     assert ask(backup_site, target, **changes).whole
-    (run,) = engines(backup_site)[0].runs
+    (run,) = sort_engines(backup_site)[0].runs
     assert 'x-kv-backup' not in run.headers
 
 
@@ -84,16 +86,16 @@
         gateway_site.add_server(name, 'engines')
     gateway_site.add_gateway()
     assert ask(gateway_site).whole
-    (run,) = engines(gateway_site)[0].runs
+    (run,) = sort_engines(gateway_site)[0].runs
     assert 'x-kv-backup' not in run.headers
 
 
 def test_same_run_goes_on_where_its_copy_is(backup_site: GatewaySite):
-    break_first(backup_site, 'crash')
+    inject_faults(backup_site, 'crash')
     answer = ask(backup_site)
     assert answer.whole
-    assert event_ids(answer.body) == [1, 2, 3, 4, 5, 6]
-    first, other = engines(backup_site)
+    assert parse_event_ids(answer.body) == [1, 2, 3, 4, 5, 6]
+    first, other = sort_engines(backup_site)
     (run,) = other.runs
     assert run.headers['kv-from'] == f'{other.address}/r1'
     assert run.headers['last-event-id'] == '2'
@@ -101,20 +103,20 @@
 
 
 def test_run_does_not_go_on_while_its_engine_lives(backup_site: GatewaySite):
-    break_first(backup_site, 'cut')
+    inject_faults(backup_site, 'cut')
     answer = ask(backup_site)
     assert not answer.whole
-    first, other = engines(backup_site)
+    first, other = sort_engines(backup_site)
     assert len(first.runs) == 1
     assert not other.runs
 
 
 def test_stream_is_cut_if_there_is_no_copy_after_all(backup_site: GatewaySite):
-    break_first(backup_site, 'crash', 'shed')
+    inject_faults(backup_site, 'crash', 'shed')
     answer = ask(backup_site)
     assert not answer.whole
-    assert event_ids(answer.body) == [1, 2]
-    assert engines(backup_site)[1].turned_away == 1
+    assert parse_event_ids(answer.body) == [1, 2]
+    assert sort_engines(backup_site)[1].turned_away == 1
 
 
 def test_run_begins_nowhere_anew_if_its_copy_cannot_be_reached(
@@ -123,7 +125,7 @@
     backup_site.add_server('three', 'engines').events = 6
     gateway = backup_site.gateways[0]
     wait_until(lambda: 'three' in gateway.status()['endpoints'])
-    break_first(backup_site, 'crash')
+    inject_faults(backup_site, 'crash')
     for server in backup_site.servers.values():
         server.event_ms = 150
     caller = backup_site.caller()
@@ -142,20 +144,20 @@
 def test_second_engine_that_breaks_too_ends_the_stream(
     backup_site: GatewaySite,
 ):
-    break_first(backup_site, 'crash', 'cut')
+    inject_faults(backup_site, 'crash', 'cut')
     answer = ask(backup_site)
     assert not answer.whole
-    assert len(engines(backup_site)[1].runs) == 1
+    assert len(sort_engines(backup_site)[1].runs) == 1
 
 
 def test_run_does_not_go_on_at_an_engine_that_left(backup_site: GatewaySite):
-    break_first(backup_site, 'crash')
+    inject_faults(backup_site, 'crash')
     for server in backup_site.servers.values():
         server.event_ms = 300
     caller = backup_site.caller()
     caller.send('/oneway/x', method='POST', **LONG_ANSWER)
     wait_until(lambda: any(each.runs for each in backup_site.servers.values()))
-    _first, other = engines(backup_site)
+    _first, other = sort_engines(backup_site)
     backup_site.store.delete('servers', other.name)
     gateway = backup_site.gateways[0]
     wait_until(lambda: other.name not in gateway.status()['endpoints'])
--- a/tests/test_token_gap_watch.py
+++ b/tests/test_token_gap_watch.py
@@ -1,4 +1,4 @@
-"""Pauses of a stream and what was read beside it."""
+"""Token gaps of a stream and the prefill load during them."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
     clock: ManualClock,
     **changes: object,
 ) -> TokenGapWatch:
-    """Watch a stream of engine e1."""
-    known = {'endpoint': 'e1', 'load': load, 'speed': EngineSpeed(), **changes}
-    return TokenGapWatch(clock=clock, **known)
+    """Create a watch for a stream of engine e1."""
+    args = {'endpoint': 'e1', 'load': load, 'speed': EngineSpeed(), **changes}
+    return TokenGapWatch(clock=clock, **args)
 
 
 def test_longest_pause_is_kept_with_what_was_read_beside_it(
--- a/wingfall/gateway/calls/stream_continuation.py
+++ b/wingfall/gateway/calls/stream_continuation.py
@@ -1,7 +1,7 @@
-"""Goes on with a stream at the engine that keeps a copy of its run.
+"""Continuation of a stream at the engine that has a backup of its run.
 
-A stream that may neither be repeated nor resumed is saved so if its engine
-ends. Two engines must never work on the same run.
+Saves a stream that may neither be repeated nor resumed when its engine ends.
+Two engines must never work on the same run.
 """
 
 from __future__ import annotations
@@ -32,19 +32,18 @@
     destination: Destination,
     outcome: AttemptOutcome,
 ) -> Destination | None:
-    """Choose the engine that goes on with a stream whose engine has ended.
+    """Find the engine that continues a stream whose engine has ended.
 
-    While the first engine lives it may still work on the run, and two engines
-    would work on it; so it has to refuse connections by now, or must have
-    started again since. The retry budget is asked last, so that nothing of it
-    is taken in vain.
+    A running first engine may still work on the run, and then two engines would
+    work on it. So the first engine must refuse connections or have restarted
+    since. The retry budget is checked last, so that none of it is wasted.
 
-    :param state: what the gateway knows.
+    :param state: state of the gateway.
     :param call: the call.
-    :param reply: its answer so far.
-    :param destination: where the run was.
-    :param outcome: how the attempt there ended.
-    :returns: the destination, None if the stream can't go on.
+    :param reply: the answer to the caller so far.
+    :param destination: the destination of the attempt that ended.
+    :param outcome: the outcome of that attempt.
+    :returns: the destination, None if the stream can't be continued.
     """
     if outcome.end is not AttemptEnd.cut or destination.backup is None:
         return None
@@ -60,7 +59,7 @@
 
 
 def _has_ended(state: GatewayState, endpoint: PoolEndpoint) -> bool:
-    # One that has started again listens there, and knows nothing of the run.
+    # A restarted engine accepts connections but no longer has the run.
     if state.knowledge.lives.has_ended(endpoint):
         return True
     return refuses_connections(endpoint)
@@ -80,7 +79,7 @@
         return None
     demand = describe_demand(call)
     candidate = describe_endpoint(state, call, listed)
-    # All is in the copy but what was made in the last moment.
+    # The backup lacks only the most recent output.
     candidate.cached_tokens = demand.tokens
     return Destination(
         endpoint=listed,
--- a/wingfall/gateway/calls/token_gap_watch.py
+++ b/wingfall/gateway/calls/token_gap_watch.py
@@ -1,7 +1,7 @@
-"""Measures the gaps between the events of one engine's stream.
+"""Measures the token gaps of a stream from one engine.
 
-Owns the longest gap of one attempt and what the engine read during it; teaches
-the engine's speed.
+Owns the longest token gap of an attempt and the prefill tokens of the engine
+during that gap; updates the speed estimates of the engine.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 @final
 class TokenGapWatch:
-    """The longest token gap of a stream, and what the engine read meanwhile."""
+    """The longest token gap of a stream and the prefill load during it."""
 
     __slots__ = (
         '_clock',
         '_endpoint',
-        '_last_ms',
+        '_last_event_ms',
         '_load',
-        '_reading_tokens',
+        '_last_prefill_tokens',
         '_speed',
         'longest_ms',
         'longest_reading_tokens',
@@ -37,37 +37,37 @@
         clock: Clock,
         speed: EngineSpeed,
     ) -> None:
-        """Start before the first event.
+        """Create a watch for a stream without events.
 
         :param endpoint: name of the engine.
-        :param load: what runs there.
-        :param clock: the time.
-        :param speed: learns from the gaps.
+        :param load: load of all endpoints.
+        :param clock: the clock.
+        :param speed: speed estimates of the engine, updated from the gaps.
         """
         self._endpoint = endpoint
         self._load = load
         self._clock = clock
         self._speed = speed
-        self._last_ms: int | None = None
-        self._reading_tokens = 0
-        # Milliseconds, None until there were two events.
+        self._last_event_ms: int | None = None
+        self._last_prefill_tokens = 0
+        # Longest token gap in milliseconds, None before the second event.
         self.longest_ms: int | None = None
-        # Prompt tokens that waited to be read there during that gap.
+        # Pending prefill tokens of the engine during that gap.
         self.longest_reading_tokens = 0
 
     def note_event(self) -> None:
-        """Note that events of the stream have come."""
+        """Record the arrival of events of the stream."""
         now_ms = self._clock.now_ms()
-        reading = self._load.total(self._endpoint).reading_tokens
-        if self._last_ms is not None:
-            # What was read in the gap waited at its start or at its end.
-            beside = max(reading, self._reading_tokens)
-            self._note_gap(now_ms - self._last_ms, beside)
-        self._last_ms = now_ms
-        self._reading_tokens = reading
+        prefill_tokens = self._load.total(self._endpoint).reading_tokens
+        if self._last_event_ms is not None:
+            # A prefill during the gap was pending at its start or at its end.
+            gap_prefill_tokens = max(prefill_tokens, self._last_prefill_tokens)
+            self._note_gap(now_ms - self._last_event_ms, gap_prefill_tokens)
+        self._last_event_ms = now_ms
+        self._last_prefill_tokens = prefill_tokens
 
     def end(self) -> None:
-        """Note that the stream has ended."""
+        """Record the end of the stream."""
         if self.longest_ms is not None:
             self._speed.note_longest_gap(
                 self.longest_ms,
