--- a/tests/test_prefix_cache.py
+++ b/tests/test_prefix_cache.py
@@ -1,4 +1,4 @@
-"""The model of an engine's memory of prompts."""
+"""The model of the prompt parts that an engine caches."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def parts(*names: str, tokens: int = 100) -> list[PromptPart]:
-    """Make parts of equal length."""
+    """Return parts of equal length."""
     return [PromptPart(part_id=name, tokens=tokens) for name in names]
 
 
@@ -66,14 +66,14 @@
     assert cache.pending_read(parts('a'), now_ms=0).tokens == 0
 
 
-NAMES = st.lists(st.sampled_from('abcdefgh'), max_size=4)
-STEPS = st.lists(
-    st.tuples(st.sampled_from(['note', 'unread', 'clear']), NAMES),
+PART_NAMES = st.lists(st.sampled_from('abcdefgh'), max_size=4)
+CACHE_STEPS = st.lists(
+    st.tuples(st.sampled_from(['note', 'unread', 'clear']), PART_NAMES),
     max_size=30,
 )
 
 
-@given(steps=STEPS)
+@given(steps=CACHE_STEPS)
 def test_index_names_the_engines_that_keep_a_part(
     steps: list[tuple[str, list[str]]],
 ):
@@ -91,12 +91,12 @@
         else:
             cache.clear()
     for part in parts(*'abcdefgh'):
-        keeping = {
+        caching = {
             engine
             for engine, cache in caches.items()
             if cache.cached_tokens([part])
         }
-        assert index.engines(part.part_id) == keeping
+        assert index.engines(part.part_id) == caching
 
 
 def test_engines_that_keep_the_most_of_a_prompt_are_named():
--- a/wingfall/gateway/knowledge/prefix_cache.py
+++ b/wingfall/gateway/knowledge/prefix_cache.py
@@ -1,8 +1,8 @@
-"""What the engines are likely to hold of the prompts they have read.
+"""An estimate of the prompt parts that each engine caches.
 
-Engines keep the parts of prompts until memory runs out, those unused the
-longest give way first. The model follows where prompts were sent, by this
-gateway and by its peers; a wrong guess costs the reading of a part.
+Engines cache prompt parts until memory runs out and evict the least recently
+used parts first. The estimate is based on where this gateway and its peers sent
+prompts; an error costs the prefill of a part.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 
     from wingfall.gateway.model.prompt import PromptPart
 
-# Tokens that an engine holds whose memory isn't known. About what the engines
-# seen so far hold; a wrong guess costs the reading of a part.
+# Assumed capacity of an engine whose memory size is unknown, close to that of
+# the engines seen so far. An error costs the prefill of a part.
 DEFAULT_CAPACITY_TOKENS: Final = 400_000
 
 
 @final
 class PendingRead:
-    """Parts of a prompt that an engine reads for another prompt."""
+    """Parts of a prompt that an engine is prefilling for another prompt."""
 
     __slots__ = ('ready_in_ms', 'tokens')
 
     def __init__(self, *, tokens: int, ready_in_ms: int) -> None:
-        """Describe the reading.
+        """Initialize the prefill.
 
-        :param tokens: length of the parts.
-        :param ready_in_ms: when they are read, by an estimate.
+        :param tokens: total length of the parts in tokens.
+        :param ready_in_ms: estimated milliseconds until the prefill ends.
         """
         self.tokens = tokens
         self.ready_in_ms = ready_in_ms
@@ -38,16 +38,16 @@
 
 @final
 class PartIndex:
-    """Which engines are likely to keep a part, without asking each."""
+    """Index of the engines that are likely to cache each part."""
 
     __slots__ = ('_engines',)
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty index."""
         self._engines: dict[str, set[str]] = {}
 
     def engines(self, part_id: str) -> set[str]:
-        """Name the engines that keep a part.
+        """Return the engines that cache a part.
 
         :param part_id: id of the part.
         :returns: names of the engines.
@@ -55,7 +55,7 @@
         return self._engines.get(part_id, set())
 
     def add(self, part_id: str, engine: str) -> None:
-        """Note that an engine keeps a part.
+        """Record that an engine caches a part.
 
         :param part_id: id of the part.
         :param engine: name of the engine.
@@ -63,7 +63,7 @@
         self._engines.setdefault(part_id, set()).add(engine)
 
     def discard(self, part_id: str, engine: str) -> None:
-        """Note that an engine keeps a part no longer.
+        """Record that an engine no longer caches a part.
 
         :param part_id: id of the part.
         :param engine: name of the engine.
@@ -76,14 +76,14 @@
 
 @final
 class PrefixCache:
-    """A model of one engine's memory of prompt parts."""
+    """An LRU model of the prompt parts that one engine caches."""
 
     __slots__ = (
         '_capacity',
         '_engine',
         '_index',
-        '_parts',
         '_ready_ms',
+        '_parts',
         '_tokens',
     )
 
@@ -94,11 +94,11 @@
         index: PartIndex | None = None,
         capacity: int = DEFAULT_CAPACITY_TOKENS,
     ) -> None:
-        """Start empty.
+        """Create an empty cache.
 
         :param engine: name of the engine.
-        :param index: where it is noted what the engine keeps.
-        :param capacity: tokens that the engine can keep.
+        :param index: index to update with the parts that the engine caches.
+        :param capacity: tokens that the engine can cache.
         """
         self._engine = engine
         self._index = index or PartIndex()
@@ -107,19 +107,19 @@
         self._parts: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
-        # When the parts that are still being read are likely read.
+        # Estimated end of the prefill of each part that is not confirmed.
         self._ready_ms: dict[str, int] = {}
 
     @property
     def tokens(self) -> int:
-        """Tokens of all parts that are likely kept."""
+        """Tokens of all parts that are likely cached."""
         return self._tokens
 
     def cached_tokens(self, parts: Iterable[PromptPart]) -> int:
-        """Tell how much of a prompt need not be read again.
+        """Return how much of a prompt needs no prefill.
 
         :param parts: the shared parts of the prompt in order.
-        :returns: tokens of the leading parts that are kept.
+        :returns: tokens of the leading parts that are cached.
         """
         total = 0
         for part in parts:
@@ -133,11 +133,11 @@
         parts: Iterable[PromptPart],
         now_ms: int,
     ) -> PendingRead:
-        """Tell how much of a prompt is being read for another one.
+        """Return how much of a prompt is being prefilled for another prompt.
 
         :param parts: the shared parts of the prompt in order.
-        :param now_ms: a reading of the clock.
-        :returns: the parts that are not read yet.
+        :param now_ms: time of the steady clock.
+        :returns: length and estimated end of the parts not prefilled yet.
         """
         pending = [part for part in parts if part.part_id in self._ready_ms]
         ready = [self._ready_ms[part.part_id] for part in pending]
@@ -147,27 +147,27 @@
         )
 
     def confirm_read(self, parts: Iterable[PromptPart]) -> None:
-        """Remember that a prompt has been read.
+        """Record that the prefill of a prompt has ended.
 
-        :param parts: its shared parts.
+        :param parts: the shared parts of the prompt.
         """
         for part in parts:
             self._ready_ms.pop(part.part_id, None)
 
     def drop_unconfirmed(self, parts: Iterable[PromptPart]) -> None:
-        """Forget the parts of a prompt that have not been read.
+        """Remove the parts of a prompt whose prefill is not confirmed.
 
-        :param parts: its shared parts.
+        :param parts: the shared parts of the prompt.
         """
         for part in parts:
             if self._ready_ms.pop(part.part_id, None) is not None:
-                self._drop(part.part_id)
+                self._remove(part.part_id)
 
     def note(self, parts: Iterable[PromptPart], ready_ms: int = 0) -> None:
-        """Remember that the engine reads a prompt.
+        """Record that the engine caches the parts of a prompt.
 
         :param parts: the shared parts of the prompt in order.
-        :param ready_ms: when it is likely read, 0 if it is already.
+        :param ready_ms: estimated end of the prefill, 0 if it has ended.
         """
         for part in parts:
             if ready_ms and part.part_id not in self._parts:
@@ -175,36 +175,36 @@
             self._tokens += part.tokens - self._parts.pop(part.part_id, 0)
             self._parts[part.part_id] = part.tokens
             self._index.add(part.part_id, self._engine)
-        self._trim()
+        self._evict()
 
     def resize(self, capacity: int) -> None:
-        """Take how much the engine can keep; what is beyond gives way.
+        """Set the capacity and evict the parts that exceed it.
 
-        :param capacity: tokens.
+        :param capacity: tokens that the engine can cache.
         """
         self._capacity = capacity
-        self._trim()
+        self._evict()
 
     def clear(self) -> None:
-        """Forget all parts, as when the engine is gone."""
+        """Remove all parts, as when the engine is gone."""
         for part_id in list(self._parts):
-            self._drop(part_id)
+            self._remove(part_id)
         self._ready_ms.clear()
 
-    def recent(self, most: int) -> list[tuple[str, int]]:
-        """List the parts used last, to tell a peer.
+    def recent(self, limit: int) -> list[tuple[str, int]]:
+        """Return the most recently used parts, for a peer.
 
-        :param most: how many.
-        :returns: ids and tokens, the latest last.
+        :param limit: maximum number of parts.
+        :returns: ids and tokens, the most recently used last.
         """
-        return list(self._parts.items())[-most:]
+        return list(self._parts.items())[-limit:]
 
-    def _trim(self) -> None:
+    def _evict(self) -> None:
         while self._tokens > self._capacity:
             oldest = next(iter(self._parts))
             self._ready_ms.pop(oldest, None)
-            self._drop(oldest)
+            self._remove(oldest)
 
-    def _drop(self, part_id: str) -> None:
+    def _remove(self, part_id: str) -> None:
         self._tokens -= self._parts.pop(part_id, 0)
         self._index.discard(part_id, self._engine)
--- a/wingfall/gateway/knowledge/prefix_caches.py
+++ b/wingfall/gateway/knowledge/prefix_caches.py
@@ -1,7 +1,7 @@
-"""The models of all engines' prefix caches, and what peers don't know of them.
+"""Models of the prefix caches of all engines.
 
-Owns a model an engine, an index of who caches which part, and the prompts that
-peers have not been told.
+Holds one model per engine, an index of the engines that cache each part, and
+the prompts not yet reported to peers.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from wingfall.gateway.model.prompt import Prompt, PromptPart
 
-# Parts of one engine that peers are told of at once.
+# Maximum number of parts of one engine in a report to peers.
 RECENT_PARTS: Final = 300
 
 
@@ -30,11 +30,11 @@
         parts: tuple[PromptPart, ...],
         unread: int,
     ) -> None:
-        """Describe a sending.
+        """Initialize the sent prompt.
 
-        :param endpoint: where it went.
-        :param parts: its shared parts.
-        :param unread: its tokens that the engine likely didn't keep.
+        :param endpoint: name of the engine.
+        :param parts: shared parts of the prompt.
+        :param unread: tokens of the prompt that the engine likely didn't cache.
         """
         self.endpoint = endpoint
         self.parts = parts
@@ -43,36 +43,36 @@
 
 @final
 class PrefixCaches:
-    """The models of all engines' memories."""
+    """The prefix cache models of all engines."""
 
-    __slots__ = ('_by_endpoint', '_index', 'unsent')
+    __slots__ = ('_caches', '_index', 'unsent')
 
     def __init__(self) -> None:
-        """Start empty."""
-        self._by_endpoint: dict[str, PrefixCache] = {}
+        """Create an empty collection."""
+        self._caches: dict[str, PrefixCache] = {}
         self._index = PartIndex()
-        # Prompts that peers have not been told of yet.
+        # Prompts not yet reported to peers.
         self.unsent: list[SentPrompt] = []
 
     def find(self, endpoint: str) -> PrefixCache:
-        """Give the model of an engine.
+        """Return the model of an engine, created if missing.
 
-        :param endpoint: its name.
-        :returns: the model.
+        :param endpoint: name of the engine.
+        :returns: prefix cache model of the engine.
         """
-        known = self._by_endpoint.get(endpoint)
-        if known is None:
-            known = PrefixCache(engine=endpoint, index=self._index)
-            self._by_endpoint[endpoint] = known
-        return known
+        cache = self._caches.get(endpoint)
+        if cache is None:
+            cache = PrefixCache(engine=endpoint, index=self._index)
+            self._caches[endpoint] = cache
+        return cache
 
     def engines_with(self, prompt: Prompt) -> set[str]:
-        """Name the engines that keep the most of a prompt.
+        """Return the engines that cache the longest prefix of a prompt.
 
-        Those that keep its first part alone may be all there are: prompts of
-        one kind begin alike. The last part that any engine keeps tells more.
+        All engines may cache the first part, since prompts of one kind begin
+        alike. The last part that any engine caches is more selective.
 
-        :param prompt: the prompt.
+        :param prompt: the prompt to place.
         :returns: names of the engines.
         """
         for part in reversed(prompt.shared):
@@ -82,69 +82,71 @@
         return set()
 
     def set_capacity(self, endpoint: str, capacity: int) -> None:
-        """Set how much an engine can hold, whose memory is known by now.
+        """Set the capacity of an engine whose memory size is now cache.
 
-        :param endpoint: its name.
-        :param capacity: tokens that it can hold, 0 if it keeps none.
+        :param endpoint: name of the engine.
+        :param capacity: tokens that the engine can cache; 0 is ignored.
         """
         if capacity:
             self.find(endpoint).resize(capacity)
 
     def note_sent(self, sent: SentPrompt, ready_ms: int) -> None:
-        """Note a prompt that this gateway sent.
+        """Record a prompt that this gateway sent.
 
-        :param sent: the prompt and where it went.
-        :param ready_ms: when it is likely read.
+        :param sent: the prompt and its engine.
+        :param ready_ms: estimated end of the prefill.
         """
         self.find(sent.endpoint).note(sent.parts, ready_ms)
         self.unsent.append(sent)
 
     def confirm_read(self, endpoint: str, prompt: Prompt) -> None:
-        """Note that an engine has read a prompt, since its answer began.
+        """Record that the prefill of a prompt ended, since its output began.
 
-        :param endpoint: its name.
-        :param prompt: the prompt.
+        :param endpoint: name of the engine.
+        :param prompt: the prompt that was prefilled.
         """
         self.find(endpoint).confirm_read(prompt.shared)
 
     def drop_unconfirmed(self, endpoint: str, prompt: Prompt) -> None:
-        """Note that an attempt has ended; what it didn't read isn't cached.
+        """Remove the parts that an ended attempt didn't prefill.
 
-        :param endpoint: its name.
-        :param prompt: the prompt.
+        :param endpoint: name of the engine.
+        :param prompt: the prompt of the attempt.
         """
         self.find(endpoint).drop_unconfirmed(prompt.shared)
 
     def learn(self, endpoint: str, parts: tuple[PromptPart, ...]) -> None:
-        """Take what an engine itself says it keeps, and tell the peers.
+        """Record the parts that an engine reports, for peers as well.
 
-        :param endpoint: its name.
-        :param parts: the parts of prompts that it keeps.
+        :param endpoint: name of the engine.
+        :param parts: prompt parts that the engine caches.
         """
         self.find(endpoint).note(parts)
-        told = parts[-RECENT_PARTS:]
-        self.unsent.append(SentPrompt(endpoint=endpoint, parts=told, unread=0))
+        reported = parts[-RECENT_PARTS:]
+        self.unsent.append(
+            SentPrompt(endpoint=endpoint, parts=reported, unread=0)
+        )
 
     def take_unsent(self) -> list[SentPrompt]:
-        """Take what the peers have not heard of.
+        """Return and clear the prompts not yet reported to peers.
 
-        :returns: the prompts sent since the last call.
+        :returns: prompts recorded since the last call.
         """
         unsent = self.unsent
         self.unsent = []
         return unsent
 
     def forget(self, names: set[str]) -> None:
-        """Keep only the endpoints that are listed.
+        """Remove the models of all endpoints that are not listed.
 
-        :param names: their names.
+        :param names: names of the endpoints to retain.
         """
-        for name in self._by_endpoint.keys() - names:
-            self._by_endpoint.pop(name).clear()
+        for name in self._caches.keys() - names:
+            self._caches.pop(name).clear()
 
     def models(self) -> list[tuple[str, PrefixCache]]:
-        """List all models.
+        """Return all models.
 
-        :returns: endpoints and their models.
+        :returns: name and model of each endpoint.
         """
-        return list(self._by_endpoint.items())
+        return list(self._caches.items())
