--- a/tests/test_true_time.py
+++ b/tests/test_true_time.py
@@ -1,4 +1,4 @@
-"""The time of day that windows are told by."""
+"""The time of day that defines usage windows."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 @pytest.fixture
 def wall() -> ManualClock:
-    """Give a time of day."""
+    """Return the wall clock."""
     return ManualClock(start_ms=START_MS)
 
 
 @pytest.fixture
 def true_time(clock: ManualClock, wall: ManualClock) -> TrueTime:
-    """Give an estimate without peers."""
+    """Return an estimate without peers."""
     return TrueTime(clock=clock, wall=wall)
 
 
-def pass_ms(ms: int, *clocks: ManualClock) -> None:
-    """Let time pass on all clocks."""
-    for each in clocks:
-        each.advance(ms)
+def advance_all(ms: int, *clocks: ManualClock) -> None:
+    """Advance all clocks."""
+    for clock in clocks:
+        clock.advance(ms)
 
 
 def test_alone_it_is_the_own_time_of_day(
     clock: ManualClock, wall: ManualClock, true_time: TrueTime
 ):
-    pass_ms(5000, clock, wall)
+    advance_all(5000, clock, wall)
     assert true_time.now_ms() == START_MS + 5000
     assert true_time.at(clock.now_ms() - 1000) == START_MS + 4000
 
@@ -40,10 +40,10 @@
 def test_jump_is_not_followed(
     clock: ManualClock, wall: ManualClock, true_time: TrueTime, jump_ms: int
 ):
-    pass_ms(1000, clock, wall)
+    advance_all(1000, clock, wall)
     wall.advance(jump_ms)
     assert true_time.look() == jump_ms
-    pass_ms(1000, clock, wall)
+    advance_all(1000, clock, wall)
     assert true_time.look() == jump_ms
     assert true_time.now_ms() == START_MS + 2000
     wall.advance(-jump_ms)
@@ -68,7 +68,7 @@
     started.note_peer('a', START_MS)
     started.note_peer('b', START_MS + 3)
     assert started.now_ms() == START_MS + 3
-    # Its own reading is told as it is: medians of medians would drift.
+    # Its own time is reported unchanged: medians of medians would drift.
     assert started.own_ms == START_MS + 2000
     started.forget('a')
     started.forget('b')
--- a/tests/test_usage_counts.py
+++ b/tests/test_usage_counts.py
@@ -1,4 +1,4 @@
-"""Counts of requests by window and customer, of all gateways."""
+"""Request counts of all gateways by window and customer."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 from wingfall.wire.gateway_messages import GatewayHello
 
 WINDOW_MS = 5000
-NOW = 200
+WINDOW = 200
 
 
 @pytest.fixture
 def clock() -> ManualClock:
-    """Give a clock at the beginning of a window."""
-    return ManualClock(start_ms=NOW * WINDOW_MS)
+    """Return a clock at the beginning of a window."""
+    return ManualClock(start_ms=WINDOW * WINDOW_MS)
 
 
 @pytest.fixture
 def true_time(clock: ManualClock) -> TrueTime:
-    """Give a time of day that is the clock's."""
+    """Return a time of day that equals the clock."""
     return TrueTime(clock=clock, wall=clock)
 
 
 @pytest.fixture
 def counts(true_time: TrueTime) -> UsageCounts:
-    """Give empty counts."""
+    """Return empty counts."""
     return UsageCounts(time=true_time, window_ms=WINDOW_MS)
 
 
@@ -39,7 +39,7 @@
 def exchange(
     clock: ManualClock, true_time: TrueTime, counts: UsageCounts
 ) -> DutyExchange:
-    """Give an exchange of a gateway that does not hold the lease."""
+    """Return the exchange of a gateway that does not hold the lease."""
     return DutyExchange(
         clock=clock,
         true_time=true_time,
@@ -55,7 +55,7 @@
 
 
 def session(name: str, *, incarnation: int = 1) -> PeerSession:
-    """Give a session with a peer."""
+    """Return a session with a peer."""
     hello = GatewayHello(
         name=name, address='a', known=[], zone='z', incarnation=incarnation
     )
@@ -68,55 +68,55 @@
     counts.note('oslo', clock.now_ms())
     counts.note('oslo', clock.now_ms() - 1)
     counts.note('bergen', clock.now_ms() + WINDOW_MS - 1)
-    assert counts.sum(NOW) == {'oslo': 1, 'bergen': 1}
-    assert counts.sum(NOW - 1) == {'oslo': 1}
+    assert counts.sum(WINDOW) == {'oslo': 1, 'bergen': 1}
+    assert counts.sum(WINDOW - 1) == {'oslo': 1}
 
 
 def test_counts_that_are_told_twice_or_late_do_no_harm(counts: UsageCounts):
-    counts.note('oslo', NOW * WINDOW_MS)
-    counts.take('b/1', [(NOW, 'oslo', 7)])
-    counts.take('b/1', [(NOW, 'oslo', 5)])
-    counts.take('b/1', [(NOW, 'oslo', 7)])
-    # The same gateway after a restart; what it told before still counts.
-    counts.take('b/2', [(NOW, 'oslo', 2)])
-    assert counts.sum(NOW) == {'oslo': 10}
+    counts.note('oslo', WINDOW * WINDOW_MS)
+    counts.take('b/1', [(WINDOW, 'oslo', 7)])
+    counts.take('b/1', [(WINDOW, 'oslo', 5)])
+    counts.take('b/1', [(WINDOW, 'oslo', 7)])
+    # The same gateway after a restart; its earlier reports still count.
+    counts.take('b/2', [(WINDOW, 'oslo', 2)])
+    assert counts.sum(WINDOW) == {'oslo': 10}
 
 
 def test_only_what_has_risen_is_told(counts: UsageCounts):
-    counts.note('oslo', NOW * WINDOW_MS)
-    counts.note('bergen', NOW * WINDOW_MS)
-    told = counts.revision
-    counts.note('oslo', NOW * WINDOW_MS)
-    assert counts.changes_since(told) == [(NOW, 'oslo', 2)]
+    counts.note('oslo', WINDOW * WINDOW_MS)
+    counts.note('bergen', WINDOW * WINDOW_MS)
+    reported = counts.revision
+    counts.note('oslo', WINDOW * WINDOW_MS)
+    assert counts.changes_since(reported) == [(WINDOW, 'oslo', 2)]
     assert len(counts.changes_since(0)) == 2
 
 
 def test_old_windows_are_forgotten(clock: ManualClock, counts: UsageCounts):
     counts.note('oslo', clock.now_ms())
-    counts.take('b/1', [(NOW, 'oslo', 7)])
+    counts.take('b/1', [(WINDOW, 'oslo', 7)])
     clock.advance(WINDOW_MS * 7)
     counts.forget_old()
-    assert not counts.sum(NOW)
+    assert not counts.sum(WINDOW)
     assert not counts.changes_since(0)
 
 
 def test_wrong_time_of_a_peer_keeps_no_window_from_being_reported(
     counts: UsageCounts,
 ):
-    counts.note_delivered(NOW + 3)
+    counts.note_delivered(WINDOW + 3)
     assert counts.delivered == 0
-    assert counts.next_window == NOW
+    assert counts.next_window == WINDOW
 
 
 def test_gateway_that_starts_tells_of_no_window_that_it_does_not_know(
     counts: UsageCounts, exchange: DutyExchange
 ):
-    # The holder would take what was due for reported.
+    # Otherwise the holder would assume that pending windows are reported.
     assert exchange.greet()[0] == 0
-    assert counts.next_window == NOW
-    counts.note_delivered(NOW - 4)
-    assert exchange.greet()[0] == NOW - 4
-    assert counts.next_window == NOW - 3
+    assert counts.next_window == WINDOW
+    counts.note_delivered(WINDOW - 4)
+    assert exchange.greet()[0] == WINDOW - 4
+    assert counts.next_window == WINDOW - 3
 
 
 def test_few_hear_counts_and_a_new_session_hears_all(
@@ -124,22 +124,22 @@
 ):
     sessions = [session(f'peer-{number}') for number in range(8)]
     counts.note('oslo', clock.now_ms())
-    told = dict(exchange.due(sessions))
-    assert len(told) == 3
-    assert {each[3][0] for each in told.values()} == {(NOW, 'oslo', 1)}
-    # Not before a second has passed, and only if there is something new.
+    sent = dict(exchange.due(sessions))
+    assert len(sent) == 3
+    assert {field[3][0] for field in sent.values()} == {(WINDOW, 'oslo', 1)}
+    # At most once per second, and only after a change.
     counts.note('oslo', clock.now_ms())
     assert not list(exchange.due(sessions))
     clock.advance(1000)
     assert len(list(exchange.due(sessions))) == 3
     clock.advance(1000)
     assert not list(exchange.due(sessions))
-    first = next(iter(told))
-    anew = session(first.name, incarnation=2)
+    first = next(iter(sent))
+    restarted = session(first.name, incarnation=2)
     clock.advance(1000)
-    ((heard, field),) = exchange.due([anew])
-    assert heard is anew
-    assert field[3] == [(NOW, 'oslo', 2)]
+    ((receiver, field),) = exchange.due([restarted])
+    assert receiver is restarted
+    assert field[3] == [(WINDOW, 'oslo', 2)]
 
 
 def test_holder_hears_counts_wherever_it_stands(
@@ -147,14 +147,14 @@
 ):
     sessions = [session(f'peer-{number}') for number in range(8)]
     counts.note('oslo', clock.now_ms())
-    hearing = {each.name for each, _field in exchange.due(sessions)}
-    last = next(each for each in sessions if each.name not in hearing)
-    exchange.take(last, [NOW - 1, True, clock.now_ms(), []])
+    receivers = {peer.name for peer, _field in exchange.due(sessions)}
+    last = next(peer for peer in sessions if peer.name not in receivers)
+    exchange.take(last, [WINDOW - 1, True, clock.now_ms(), []])
     clock.advance(1000)
     counts.note('oslo', clock.now_ms())
-    hearing = {each.name for each, _field in exchange.due(sessions)}
-    assert last.name in hearing
-    assert len(hearing) == 4
+    receivers = {peer.name for peer, _field in exchange.due(sessions)}
+    assert last.name in receivers
+    assert len(receivers) == 4
 
 
 def test_counts_of_a_peer_are_taken_with_its_time(
@@ -164,12 +164,17 @@
     exchange: DutyExchange,
 ):
     peer = session('b')
-    told = [NOW - 1, False, clock.now_ms() + 40, [[NOW, 'oslo', 3]]]
-    # A later program may tell more.
-    exchange.take(peer, [*told, 'more'])
+    report = [
+        WINDOW - 1,
+        False,
+        clock.now_ms() + 40,
+        [[WINDOW, 'oslo', 3]],
+    ]
+    # A later version may report more fields.
+    exchange.take(peer, [*report, 'more'])
     exchange.take(peer, [])
-    assert counts.sum(NOW) == {'oslo': 3}
+    assert counts.sum(WINDOW) == {'oslo': 3}
     assert true_time.now_ms() == clock.now_ms() + 20
     exchange.forget(peer)
     assert true_time.now_ms() == clock.now_ms()
-    assert counts.sum(NOW) == {'oslo': 3}
+    assert counts.sum(WINDOW) == {'oslo': 3}
--- a/wingfall/gateway/knowledge/usage_counts.py
+++ b/wingfall/gateway/knowledge/usage_counts.py
@@ -1,8 +1,8 @@
-"""How many requests of each customer began to run, by window.
+"""Counts of the started requests of each customer, by time window.
 
-Owns the counts of this gateway, and what others have told of theirs. Each count
-is the sum since the window began and only rises, so that one that is told twice
-or late does no harm, and what a gateway told before it ended still counts.
+Holds the counts of this gateway and those that other gateways reported. Each
+count is the total since the window began and only rises, so that duplicate and
+late reports are harmless and those of a stopped gateway still count.
 """
 
 from __future__ import annotations
@@ -15,135 +15,138 @@
 
     from wingfall.gateway.knowledge.true_time import TrueTime
 
-# Windows that are kept. A report that is later than two of them counts for
-# nothing; the others allow for outages of what reports go to.
-_KEPT: Final = 6
+# Number of past windows to retain. A report that is more than two windows late
+# has no effect; the other windows allow for outages of the report's receiver.
+_MAX_WINDOWS: Final = 6
 
-# A window and a customer.
+# Window number and customer name.
 _Key = tuple[int, str]
 
 
 @final
 class UsageCounts:
-    """The counts of all gateways, as far as they are known here."""
+    """The known request counts of all gateways."""
 
     __slots__ = (
-        '_changed',
-        '_first',
-        '_others',
+        '_first_window',
         '_own',
-        '_time',
+        '_peers',
+        '_revisions',
+        '_true_time',
         '_window_ms',
         'delivered',
         'revision',
     )
 
     def __init__(self, *, time: TrueTime, window_ms: int) -> None:
-        """Start without a request.
+        """Create empty counts.
 
-        :param time: the time that windows are told by.
-        :param window_ms: their length.
+        :param time: the time of day that defines the windows.
+        :param window_ms: length of a window in milliseconds.
         """
-        self._time = time
+        self._true_time = time
         self._window_ms = window_ms
         self._own: dict[_Key, int] = collections.defaultdict(int)
         # The revision at which each own count last rose.
-        self._changed: dict[_Key, int] = {}
-        # By the process that told them.
-        self._others: dict[str, dict[_Key, int]] = {}
-        # Rises with each request.
+        self._revisions: dict[_Key, int] = {}
+        # Counts of other gateways by process.
+        self._peers: dict[str, dict[_Key, int]] = {}
+        # Incremented with each request.
         self.revision = 0
-        # The last window up to which each is reported or counts no more; 0 as
-        # long as that is not known.
+        # The last window up to which all are reported or expired; 0 if unknown.
         self.delivered = 0
-        self._first = self.window
+        self._first_window = self.window
 
     @property
     def window(self) -> int:
-        """The window that is now."""
-        return self._time.now_ms() // self._window_ms
+        """Number of the current window."""
+        return self._true_time.now_ms() // self._window_ms
 
     @property
     def next_window(self) -> int:
-        """The first window that may have to be reported still.
+        """The first window that may still have to be reported.
 
-        A gateway that starts knows nothing of those before, unless peers tell.
+        A starting gateway knows earlier windows only if peers report them.
         """
-        return self.delivered + 1 if self.delivered else self._first
+        return self.delivered + 1 if self.delivered else self._first_window
 
     def end_ms(self, window: int) -> int:
-        """Tell how long ago a window has ended.
+        """Return the time since a window ended.
 
-        :param window: the window.
-        :returns: milliseconds, negative if it has not ended.
+        :param window: number of the window.
+        :returns: milliseconds, negative if the window has not ended.
         """
-        return self._time.now_ms() - (window + 1) * self._window_ms
+        return self._true_time.now_ms() - (window + 1) * self._window_ms
 
     def note_delivered(self, window: int) -> None:
-        """Note how far another gateway tells that reports are.
+        """Record the last window that another gateway has delivered.
 
-        :param window: the last window that needs nothing more; one by a wrong
-            time of day must not keep windows from being reported.
+        :param window: the last window that needs no report; ignored if it has
+            not ended, since a wrong time of day must not suppress reports.
         """
         if window < self.window:
             self.delivered = max(self.delivered, window)
 
     def note(self, customer: str, clock_ms: int) -> None:
-        """Count a request that has begun to run.
+        """Record the start of a request.
 
-        :param customer: its customer.
-        :param clock_ms: when it began, a reading of the steady clock.
+        :param customer: name of the customer.
+        :param clock_ms: start of the request by the steady clock.
         """
-        window = self._time.at(clock_ms) // self._window_ms
+        window = self._true_time.at(clock_ms) // self._window_ms
         self.revision += 1
         self._own[window, customer] += 1
-        self._changed[window, customer] = self.revision
+        self._revisions[window, customer] = self.revision
 
     def changes_since(self, revision: int) -> list[tuple[int, str, int]]:
-        """List the own counts that have risen.
+        """Return the own counts that rose after a revision.
 
-        :param revision: since when.
+        :param revision: the last revision to leave out.
         :returns: window, customer and count of each.
         """
         return [
             (*key, self._own[key])
-            for key, changed in self._changed.items()
+            for key, changed in self._revisions.items()
             if changed > revision
         ]
 
     def take(
         self, source: str, entries: Iterable[tuple[int, str, int]]
     ) -> None:
-        """Take counts that another gateway tells.
+        """Merge the counts that another gateway reported.
 
-        :param source: the process whose counts they are.
+        :param source: the process that counted.
         :param entries: window, customer and count of each.
         """
-        known = self._others.setdefault(source, {})
+        known = self._peers.setdefault(source, {})
         for window, customer, count in entries:
             key = (window, customer)
             known[key] = max(count, known.get(key, 0))
 
     def sum(self, window: int) -> dict[str, int]:
-        """Sum up a window.
+        """Return the totals of all gateways for a window.
 
-        :param window: the window.
-        :returns: requests by customer.
+        :param window: number of the window.
+        :returns: number of requests by customer.
         """
         counts: collections.Counter[str] = collections.Counter()
-        for known in (self._own, *self._others.values()):
-            for (counted, customer), count in known.items():
-                if counted == window:
+        for known in (self._own, *self._peers.values()):
+            for (counted_window, customer), count in known.items():
+                if counted_window == window:
                     counts[customer] += count
         return dict(counts)
 
     def forget_old(self) -> None:
-        """Forget windows that nobody reports any more."""
-        oldest = self.window - _KEPT
-        for known in (self._own, self._changed, *self._others.values()):
-            old = {each for each in known if each[0] < oldest}
-            for key in old:
+        """Remove windows that are too old to be reported."""
+        oldest = self.window - _MAX_WINDOWS
+        for known in (
+            self._own,
+            self._revisions,
+            *self._peers.values(),
+        ):
+            expired = {key for key in known if key[0] < oldest}
+            for key in expired:
                 known.pop(key)
-        self._others = {
-            source: known for source, known in self._others.items() if known
+        self._peers = {
+            source: known for source, known in self._peers.items() if known
         }
