--- a/tests/load_replay.py
+++ b/tests/load_replay.py
@@ -1,12 +1,12 @@
-"""Replays a pattern of load through the rules that place and turn away calls.
+"""Replay of a load pattern through the rules that place and refuse calls.
 
-No sockets: time is stepped from one event to the next. Gateways decide by the
-real rules and the real knowledge, and hear of each other by heartbeats as late
-as they are. Engines are modelled: they read one prompt after the other at their
-rate, keep the shared parts that they have read, then stream. While an engine
-reads a long prompt, events of its streams come as far apart as reading the
-pieces between two of them takes. An engine that ends takes no connection, and
-its entry is listed until its heartbeats are missed.
+No sockets: time is stepped from one event to the next. Gateways use the real
+rules and the real knowledge, and receive each other's heartbeats with the real
+delays. Engines are simulated: they prefill one prompt after the other at their
+prefill rate, cache the shared parts of prefilled prompts, then stream. While an
+engine prefills a long prompt, the token gap of its streams is the time that it
+takes to prefill the chunks between two events. A stopped engine accepts no
+connection, and its entry is listed until its heartbeats are missed.
 
 Run ``python -m tests.load_replay tests/patterns/NAME.yaml`` for the figures.
 """
@@ -66,25 +66,25 @@
 
 POOL: Final = 'engines'
 _MS: Final = 1000
-# Tokens that an engine reads at once, steps between two events of a stream, and
-# milliseconds of a step without a read: by the sheet of the large deployment,
-# with some twenty streams.
-_PIECE_TOKENS: Final = 2048
-_STEPS: Final = 4
+# Tokens of a prefill chunk, engine steps between two events of a stream, and
+# milliseconds of a step without prefill: figures of the large deployment with
+# some twenty streams.
+_CHUNK_TOKENS: Final = 2048
+_STEPS_PER_EVENT: Final = 4
 _STEP_MS: Final = 8
-# What waited to be read during a gap beside long reads.
-_LONG_READ_TOKENS: Final = 50_000
-# Milliseconds of a message between gateways.
-_MESSAGE_MS: Final = 2
-# Milliseconds for which an engine that has ended is still listed.
-_LISTED_MS: Final = 3600
-# Milliseconds in which all gateways have read a change of the list.
-_READ_MS: Final = 300
+# Pending prefill tokens reported for a token gap during a long prefill.
+_LONG_PREFILL_TOKENS: Final = 50_000
+# Network delay of a message between gateways.
+_MESSAGE_DELAY_MS: Final = 2
+# Time for which a stopped engine is still listed.
+_DELIST_DELAY_MS: Final = 3600
+# Time until all gateways have received a change of the list.
+_LIST_DELAY_MS: Final = 300
 
 
 @final
 class Engine:
-    """An engine: what it reads, what it keeps, whether it runs."""
+    """A simulated engine with its prefill queue, cache and streams."""
 
     def __init__(
         self,
@@ -92,79 +92,79 @@
         name: str,
         tokens_per_ms: float,
         stream_tokens: float = 0,
-        slow_spell: float = 1,
+        slow_factor: float = 1,
     ) -> None:
-        """Start empty.
+        """Create an idle engine.
 
-        :param name: its name.
-        :param tokens_per_ms: how fast it reads.
-        :param stream_tokens: what each stream adds to a step, in tokens that
-            are read in the same time.
-        :param slow_spell: how many times as long steps take at times.
+        :param name: name of the engine.
+        :param tokens_per_ms: prefill rate.
+        :param stream_tokens: time that each stream adds to a step, as the
+            number of tokens that are prefilled in that time.
+        :param slow_factor: factor by which steps are longer at times.
         """
         self.name = name
-        self.up = True
-        # How long a connect takes to fail once it has ended.
-        self.connect_ms = 0
-        self.kept: set[str] = set()
-        self.runs: set[ReplayedCall] = set()
+        self.is_up = True
+        # Time until a connection attempt fails after the engine has stopped.
+        self.connect_error_ms = 0
+        self.cached_parts: set[str] = set()
+        self.running: set[ReplayedCall] = set()
         self._tokens_per_ms = tokens_per_ms
         self._stream_tokens = stream_tokens
-        self._slow_spell = slow_spell
+        self._slow_factor = slow_factor
         self._free_at_ms: float = 0
-        # Long reads: when they begin and end, in order.
-        self._long_reads: list[tuple[float, float]] = []
+        # Begin and end of each long prefill, in order.
+        self._long_prefills: list[tuple[float, float]] = []
 
-    def longest_gap_ms(self, begun_ms: int, ended_ms: int) -> int:
-        """Tell the longest gap of a stream.
+    def longest_token_gap_ms(self, begun_ms: int, ended_ms: int) -> int:
+        """Return the longest token gap of a stream.
 
-        :param begun_ms: when it began.
-        :param ended_ms: when it ended.
-        :returns: milliseconds.
+        :param begun_ms: begin of the stream.
+        :param ended_ms: end of the stream.
+        :returns: token gap in milliseconds.
         """
-        tokens = len(self.runs) * self._stream_tokens
-        if self.reads_beside(begun_ms, ended_ms):
-            tokens += _PIECE_TOKENS
+        tokens = len(self.running) * self._stream_tokens
+        if self.has_long_prefill(begun_ms, ended_ms):
+            tokens += _CHUNK_TOKENS
         step_ms = tokens / self._tokens_per_ms + _STEP_MS
-        if self._slow_spell > 1:
-            step_ms *= random.choice((1, self._slow_spell))
-        return int(step_ms * _STEPS)
+        if self._slow_factor > 1:
+            step_ms *= random.choice((1, self._slow_factor))
+        return int(step_ms * _STEPS_PER_EVENT)
 
-    def reads_beside(self, begun_ms: int, ended_ms: int) -> bool:
-        """Tell whether a long prompt is read beside a stream.
+    def has_long_prefill(self, begun_ms: int, ended_ms: int) -> bool:
+        """Check if a long prompt is prefilled during a stream.
 
-        :param begun_ms: when the stream began.
-        :param ended_ms: when it ended.
-        :returns: whether one is.
+        :param begun_ms: begin of the stream in milliseconds.
+        :param ended_ms: end of the stream.
+        :returns: whether a long prefill overlaps the stream.
         """
         return any(
             begin_ms < ended_ms and end_ms > begun_ms
-            for begin_ms, end_ms in self._long_reads
+            for begin_ms, end_ms in self._long_prefills
         )
 
-    def read(self, prompt: Prompt, now_ms: int) -> int:
-        """Take a prompt in.
+    def prefill(self, prompt: Prompt, now_ms: int) -> int:
+        """Queue a prompt for prefill.
 
-        :param prompt: the prompt.
-        :param now_ms: the time.
-        :returns: when it has been read.
+        :param prompt: the prompt to prefill.
+        :param now_ms: current time in milliseconds.
+        :returns: end of the prefill in milliseconds.
         """
-        unread = sum(
+        uncached = sum(
             part.tokens
             for part in prompt.parts
-            if part.part_id not in self.kept
+            if part.part_id not in self.cached_parts
         )
-        self.kept.update(part.part_id for part in prompt.shared)
+        self.cached_parts.update(part.part_id for part in prompt.shared)
         begin_ms = max(now_ms, self._free_at_ms)
-        self._free_at_ms = begin_ms + unread / self._tokens_per_ms
-        if unread >= _PIECE_TOKENS * _STEPS:
-            self._long_reads.append((begin_ms, self._free_at_ms))
+        self._free_at_ms = begin_ms + uncached / self._tokens_per_ms
+        if uncached >= _CHUNK_TOKENS * _STEPS_PER_EVENT:
+            self._long_prefills.append((begin_ms, self._free_at_ms))
         return int(self._free_at_ms) + 1
 
 
 @final
 class ReplayedCall:
-    """One prompt on its way, and what became of it."""
+    """A replayed call and its progress."""
 
     def __init__(
         self,
@@ -175,13 +175,13 @@
         customer: str,
         now_ms: int,
     ) -> None:
-        """Arrive.
+        """Create a call that has just arrived.
 
-        :param kind: what all prompts of its kind share.
-        :param gateway: where it arrives.
-        :param prompt: its prompt.
-        :param customer: whose it is.
-        :param now_ms: the time.
+        :param kind: properties that all calls of a kind share.
+        :param gateway: gateway that receives the call.
+        :param prompt: prompt of the call.
+        :param customer: name of the customer.
+        :param now_ms: time of arrival in milliseconds.
         """
         self.kind = kind
         self.gateway = gateway
@@ -212,13 +212,13 @@
 
     @property
     def prompt(self) -> Prompt:
-        """The prompt."""
+        """The prompt of the call."""
         return self.call.head.prompt
 
 
 @final
 class ReplayedGateway:
-    """What one gateway knows, and what it tells the others."""
+    """The state of a gateway and its exchange with the other gateways."""
 
     def __init__(
         self,
@@ -228,17 +228,17 @@
         policies: dict[str, str],
         gaps_ms: list[int],
     ) -> None:
-        """Start without an endpoint.
+        """Create a gateway without endpoints.
 
-        :param name: its name.
-        :param clock: the time of all.
-        :param policies: its rules, by the names of settings.
-        :param gaps_ms: the gaps that streams bear, each once.
+        :param name: name of the gateway.
+        :param clock: clock that all gateways share.
+        :param policies: names of policies by the names of settings.
+        :param gaps_ms: distinct token gap bounds of streams in milliseconds.
         """
-        own = policies.get('read_rates', 'own')
-        rates = read_rates.find(own).unwrap()(clock=clock)
-        plain = policies.get('start_estimates', 'plain')
-        starts = start_estimates.find(plain).unwrap()
+        rates_policy = policies.get('read_rates', 'own')
+        rates = read_rates.find(rates_policy).unwrap()(clock=clock)
+        starts_policy = policies.get('start_estimates', 'plain')
+        starts = start_estimates.find(starts_policy).unwrap()
         self.knowledge = EndpointKnowledge(
             clock=clock,
             rates=rates,
@@ -293,10 +293,10 @@
 
 @final
 class LoadReplay:
-    """Plays one pattern; a seed gives the same figures within a process.
+    """A replay of one pattern, repeatable by its seed within a process.
 
-    Between processes they differ by some calls in a thousand, with the order
-    of the names of engines in sets.
+    Between processes the figures differ by some calls in a thousand, since the
+    order of engine names in sets differs.
     """
 
     def __init__(
@@ -305,24 +305,24 @@
         pattern: dict[str, Any],
         seed: int = 1,
     ) -> None:
-        """Set gateways and engines up.
+        """Create the gateways.
 
-        :param pattern: what a file under ``tests/patterns`` says.
-        :param seed: of all draws, also those of the rules.
+        :param pattern: parsed content of a file under ``tests/patterns``.
+        :param seed: seed of all random draws, including those of the rules.
         """
         random.seed(seed)
         self.clock = ManualClock(start_ms=0)
-        # How many calls of each kind ended how.
+        # Number of calls by kind and outcome.
         self.ends: dict[str, collections.Counter[str]] = {}
-        # The same of each customer.
+        # Number of calls by customer and outcome.
         self.customers: dict[str, collections.Counter[str]] = (
             collections.defaultdict(collections.Counter)
         )
-        # How many calls each engine was sent.
+        # Number of calls sent to each engine.
         self.sent: collections.Counter[str] = collections.Counter()
         self._pattern = SimpleNamespace(**{'policies': {}, **pattern})
         self._order = itertools.count()
-        self._due: list[tuple[int, int, Callable[[], None]]] = []
+        self._queue: list[tuple[int, int, Callable[[], None]]] = []
         self._engines: dict[str, Engine] = {}
         self._gateways = [
             ReplayedGateway(
@@ -335,65 +335,66 @@
         ]
 
     def run(self) -> LoadReplay:
-        """Play to the end of the last call.
+        """Run the replay to the end of the last call.
 
-        :returns: itself, with the figures.
+        :returns: the replay itself, with its figures.
         """
         for _engine in range(self._pattern.engines):
             self._add_engine(0)
         for gateway in self._gateways:
-            self._at(
-                random.randrange(_MS), functools.partial(self._tell, gateway)
+            self._run_at(
+                random.randrange(_MS),
+                functools.partial(self._send_heartbeat, gateway),
             )
         for kind in self._pattern.kinds:
             self._plan_arrivals(SimpleNamespace(**kind))
         for event in self._pattern.events:
-            happen = getattr(self, f'_{event["what"]}')
-            self._at(
+            action = getattr(self, f'_{event["what"]}')
+            self._run_at(
                 int(event['at_s'] * _MS),
-                functools.partial(happen, event),
+                functools.partial(action, event),
             )
-        while self._due:
-            at_ms, _number, act = heapq.heappop(self._due)
+        while self._queue:
+            at_ms, _number, action = heapq.heappop(self._queue)
             self.clock.advance(at_ms - self.clock.now_ms())
-            act()
+            action()
         return self
 
     def rates(self, engine: str) -> list[float]:
-        """Tell how fast the gateways take an engine to read.
+        """Return the gateways' estimates of the prefill rate of an engine.
 
-        :param engine: its name.
-        :returns: tokens a millisecond, one for each gateway.
+        :param engine: name of the engine.
+        :returns: tokens per millisecond, one estimate per gateway.
         """
         return [
-            each.knowledge.speed(engine).rate.tokens_per_ms
-            for each in self._gateways
+            gateway.knowledge.speed(engine).rate.tokens_per_ms
+            for gateway in self._gateways
         ]
 
     def count(self, end: str) -> int:
-        """Count the calls that ended in a way.
+        """Return the number of calls with an outcome.
 
         :param end: ``in target``, ``late`` at the start, ``paused`` for too
-            long a gap, ``cut``, or a refusal's code.
-        :returns: how many, over all kinds.
+            long a token gap, ``cut``, or the code of a refusal.
+        :returns: number of calls of all kinds.
         """
         return sum(ends[end] for ends in self.ends.values())
 
-    def _at(self, at_ms: int, act: Callable[[], None]) -> None:
-        heapq.heappush(self._due, (at_ms, next(self._order), act))
+    def _run_at(self, at_ms: int, action: Callable[[], None]) -> None:
+        heapq.heappush(self._queue, (at_ms, next(self._order), action))
 
-    def _after(self, delay_ms: int, act: Callable[[], None]) -> None:
-        self._at(self.clock.now_ms() + delay_ms, act)
+    def _run_after(self, delay_ms: int, action: Callable[[], None]) -> None:
+        self._run_at(self.clock.now_ms() + delay_ms, action)
 
     def _plan_arrivals(self, kind: SimpleNamespace) -> None:
         self.ends[kind.name] = collections.Counter()
         at_s: float = 0
         while True:
-            crowd = kind.crowd if kind.from_s <= at_s < kind.to_s else 1
-            at_s += random.expovariate(kind.per_s * crowd)
+            factor = kind.crowd if kind.from_s <= at_s < kind.to_s else 1
+            at_s += random.expovariate(kind.per_s * factor)
             if at_s >= self._pattern.seconds:
                 return
-            self._at(int(at_s * _MS), functools.partial(self._arrive, kind))
+            self._run_at(int(at_s * _MS), functools.partial(self._arrive, kind))
 
     def _arrive(self, kind: SimpleNamespace) -> None:
         shared = PromptPart(
@@ -433,26 +434,28 @@
         name = to.endpoint.name
         engine = self._engines[name]
         self.sent[name] += 1
-        if not engine.up:
-            self._after(engine.connect_ms, lambda: self._miss(call, name))
+        if not engine.is_up:
+            self._run_after(
+                engine.connect_error_ms, lambda: self._fail_send(call, name)
+            )
             return
         knowledge = call.gateway.knowledge
         call.entry = knowledge.load.start(name, to.load)
-        unread = to.load.reading_tokens
-        knowledge.note_prompt_sent(name, unread)
+        uncached = to.load.reading_tokens
+        knowledge.note_prompt_sent(name, uncached)
         note_given(call.gateway.state, call.call, to)
         sent = SentPrompt(
             endpoint=name,
             parts=call.prompt.shared,
-            unread=unread,
+            unread=uncached,
         )
         now_ms = self.clock.now_ms()
         knowledge.caches.note_sent(sent, now_ms + int(to.start_ms))
-        engine.runs.add(call)
-        read_ms = engine.read(call.prompt, now_ms)
-        self._at(read_ms, lambda: self._begin(call, to, now_ms))
+        engine.running.add(call)
+        ready_ms = engine.prefill(call.prompt, now_ms)
+        self._run_at(ready_ms, lambda: self._start_output(call, to, now_ms))
 
-    def _miss(self, call: ReplayedCall, name: str) -> None:
+    def _fail_send(self, call: ReplayedCall, name: str) -> None:
         call.progress.note(name, AttemptEnd.not_sent)
         call.gateway.knowledge.health.note_unreachable(name)
         terms = RetryTerms(idempotent=True, max_attempts=2, resumes=True)
@@ -462,33 +465,35 @@
         else:
             self._end(call, 'no_endpoint')
 
-    def _begin(self, call: ReplayedCall, to: Destination, sent_ms: int) -> None:
+    def _start_output(
+        self, call: ReplayedCall, to: Destination, sent_ms: int
+    ) -> None:
         engine = self._engines[to.endpoint.name]
-        if call not in engine.runs:
+        if call not in engine.running:
             return
         call.begun_ms = self.clock.now_ms()
         call.entry.begin_output()
         knowledge, now_ms = call.gateway.knowledge, self.clock.now_ms()
         knowledge.caches.confirm_read(engine.name, call.prompt)
         knowledge.starts.note(POOL, 0, to.start_ms, now_ms - sent_ms)
-        waiting, own = to.candidate.reading_tokens, to.load.reading_tokens
+        pending, own = to.candidate.reading_tokens, to.load.reading_tokens
         knowledge.speeds.note_start(
-            engine.name, POOL, waiting + own, now_ms - sent_ms, waiting
+            engine.name, POOL, pending + own, now_ms - sent_ms, pending
         )
-        self._after(call.kind.stream_ms, lambda: self._finish(call, engine))
+        self._run_after(call.kind.stream_ms, lambda: self._finish(call, engine))
 
     def _finish(self, call: ReplayedCall, engine: Engine) -> None:
-        if call not in engine.runs or call.begun_ms is None:
+        if call not in engine.running or call.begun_ms is None:
             return
-        engine.runs.discard(call)
+        engine.running.discard(call)
         call.entry.end()
         knowledge = call.gateway.knowledge
         knowledge.health.note_success(engine.name)
         now_ms = self.clock.now_ms()
-        gap_ms = engine.longest_gap_ms(call.begun_ms, now_ms)
-        beside = engine.reads_beside(call.begun_ms, now_ms)
-        reading = _LONG_READ_TOKENS if beside else 0
-        knowledge.speed(engine.name).note_longest_gap(gap_ms, reading)
+        gap_ms = engine.longest_token_gap_ms(call.begun_ms, now_ms)
+        is_beside = engine.has_long_prefill(call.begun_ms, now_ms)
+        pending = _LONG_PREFILL_TOKENS if is_beside else 0
+        knowledge.speed(engine.name).note_longest_gap(gap_ms, pending)
         if call.begun_ms - call.arrived_ms > call.kind.target_ms:
             self._end(call, 'late')
         elif gap_ms > call.kind.gap_ms:
@@ -500,13 +505,13 @@
         self.ends[call.kind.name][end] += 1
         self.customers[call.call.customer_name][end] += 1
 
-    def _tell(self, gateway: ReplayedGateway) -> None:
+    def _send_heartbeat(self, gateway: ReplayedGateway) -> None:
         loads = gateway.exchange.take_loads(whole=False)
         activity = gateway.exchange.take_activity()
         for peer in self._gateways:
             if peer is not gateway:
-                self._after(
-                    _MESSAGE_MS,
+                self._run_after(
+                    _MESSAGE_DELAY_MS,
                     functools.partial(
                         peer.exchange.take_heartbeat,
                         gateway.session,
@@ -517,16 +522,18 @@
                 )
         if self.clock.now_ms() < self._pattern.seconds * _MS:
             peers = len(self._gateways) - 1
-            self._after(interval_ms(peers), lambda: self._tell(gateway))
+            self._run_after(
+                interval_ms(peers), lambda: self._send_heartbeat(gateway)
+            )
 
-    def _add_engine(self, read_ms: int) -> None:
+    def _add_engine(self, max_delay_ms: int) -> None:
         number = len(self._engines)
         rates = self._pattern.tokens_per_ms
         engine = Engine(
             name=f'i-{number}',
             tokens_per_ms=rates[number % len(rates)],
             stream_tokens=getattr(self._pattern, 'stream_tokens', 0),
-            slow_spell=getattr(self._pattern, 'slow_spell', 1),
+            slow_factor=getattr(self._pattern, 'slow_spell', 1),
         )
         self._engines[engine.name] = engine
         listed = PoolEndpoint(
@@ -539,31 +546,33 @@
             draining=False,
         )
         for gateway in self._gateways:
-            delay_ms = random.randrange(read_ms) if read_ms else 0
+            delay_ms = random.randrange(max_delay_ms) if max_delay_ms else 0
             put = gateway.knowledge.table.put
-            self._after(delay_ms, functools.partial(put, listed))
+            self._run_after(delay_ms, functools.partial(put, listed))
 
     def _add(self, event: dict[str, Any]) -> None:
         for _engine in range(event['count']):
-            self._add_engine(_READ_MS)
+            self._add_engine(_LIST_DELAY_MS)
 
     def _crash(self, event: dict[str, Any]) -> None:
-        running = [each for each in self._engines.values() if each.up]
+        running = [engine for engine in self._engines.values() if engine.is_up]
         count = int(len(running) * event['share'])
         for engine in random.sample(running, count):
-            engine.connect_ms = event['connect_ms']
-            self._crash_one(engine)
+            engine.connect_error_ms = event['connect_ms']
+            self._stop_engine(engine)
 
-    def _crash_one(self, engine: Engine) -> None:
-        engine.up = False
-        for call in sorted(engine.runs, key=lambda each: each.arrived_ms):
+    def _stop_engine(self, engine: Engine) -> None:
+        engine.is_up = False
+        for call in sorted(engine.running, key=lambda call: call.arrived_ms):
             call.entry.end()
             call.gateway.knowledge.health.note_failure(engine.name)
             self._end(call, 'cut')
-        engine.runs.clear()
+        engine.running.clear()
         for gateway in self._gateways:
             remove = gateway.knowledge.table.remove
-            self._after(_LISTED_MS, functools.partial(remove, engine.name))
+            self._run_after(
+                _DELIST_DELAY_MS, functools.partial(remove, engine.name)
+            )
 
 
 def _make_route(gap_ms: int, tier: int) -> SimpleNamespace:
@@ -577,22 +586,22 @@
 
 
 def _draw_customer(kind: SimpleNamespace) -> str:
-    # Kinds without customers draw as they did before there were any.
+    # Kinds without customers make no draw, so that their figures stay the same.
     customers = getattr(kind, 'customers', None)
     return random.choice(customers) if customers else ''
 
 
 def read_pattern(path: pathlib.Path) -> dict[str, Any]:
-    """Read a pattern.
+    """Return the parsed pattern of a file.
 
-    :param path: its file.
-    :returns: what it says.
+    :param path: path of the YAML file.
+    :returns: content of the pattern.
     """
     return yaml.safe_load(path.read_text('utf-8'))
 
 
 def main() -> None:
-    """Print the figures of the patterns named on the command line."""
+    """Print the figures of the patterns given on the command line."""
     for name in sys.argv[1:]:
         path = pathlib.Path(name)
         replay = LoadReplay(pattern=read_pattern(path)).run()
--- a/tests/test_load_replay.py
+++ b/tests/test_load_replay.py
@@ -1,4 +1,4 @@
-"""Patterns of load, replayed through the rules that place and turn away."""
+"""Load patterns replayed through the rules that place and refuse calls."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
     from typing import Any
 
 PATTERNS = pathlib.Path(__file__).parent / 'patterns'
-# How fast the engines of two speeds read.
+# Prefill rates of the engines of two speeds.
 TOKENS_PER_MS = (65, 65, 30)
-FAR_OFF = 0.15
+MAX_ERROR = 0.15
 
 
 def read(name: str) -> dict[str, Any]:
-    """Read a pattern."""
+    """Return the pattern of a name."""
     return read_pattern(PATTERNS / f'{name}.yaml')
 
 
 def replay(name: str, seed: int = 1, **policies: str) -> LoadReplay:
-    """Play a pattern."""
+    """Run the replay of a pattern."""
     pattern = {**read(name), 'policies': policies}
     return LoadReplay(pattern=pattern, seed=seed).run()
 
 
 def share(ends: Counter[str], end: str) -> float:
-    """Tell how many in 100 of the calls of a kind ended in a way."""
+    """Return the percentage of calls with an outcome."""
     return 100 * ends[end] / ends.total()
 
 
 def test_replay_of_a_seed_repeats():
-    first, again = (replay('empty-engines-at-the-height') for _play in range(2))
+    first, again = (replay('empty-engines-at-the-height') for _run in range(2))
     assert first.ends == again.ends
     assert first.sent == again.sent
 
 
 def test_crowd_at_many_gateways_does_not_choose_the_same_engines():
     ends = replay('herd').ends
-    # With all weighed 36 in 100 of the long ones begin late, with four for each
-    # 14 in 100 of the short ones pause too long.
+    # If placement compares all engines, 36% of the long calls begin late; if it
+    # compares four, 14% of the short calls exceed their token gap bound.
     assert share(ends['long'], 'late') < 10
     assert share(ends['long'], 'too_late') < 15
     assert share(ends['short'], 'late') < 3
@@ -54,25 +54,25 @@
 def test_empty_engines_take_their_part_at_once():
     played = replay('empty-engines-at-the-height')
     added = [f'i-{number}' for number in range(60, 75)]
-    taken = sum(played.sent[name] for name in added)
-    # They are a fifth of the engines for five eighths of the calls.
-    assert 10 * taken > sum(played.sent.values())
+    added_calls = sum(played.sent[name] for name in added)
+    # They are a fifth of the engines during five eighths of the calls.
+    assert 10 * added_calls > sum(played.sent.values())
     assert share(played.ends['long'], 'in target') > 97
 
 
 def test_loss_of_a_quarter_turns_nobody_away():
     played = replay('quarter-of-engines-gone')
-    # With all weighed 19 in 100 of the long ones begin late. If calls are given
-    # up after four engines that take no connection, 2 in 100 are.
+    # If placement compares all engines, 19% of the long calls begin late. If
+    # calls are given up after four engines that accept no connection, 2% are.
     assert share(played.ends['long'], 'late') < 3
     assert not played.count('no_endpoint')
 
 
-def share_of_others(admission: str, *, hot: bool) -> tuple[float, int]:
-    """Tell how many in 100 of the others are in target, and how many of all."""
+def share_of_other_customers(admission: str, *, hot: bool) -> tuple[float, int]:
+    """Return the percentage of others in target, and the total in target."""
     pattern = read('hot-customer-beside-burst')
     pattern['kinds'] = [
-        each for each in pattern['kinds'] if hot or each['name'] != 'hot'
+        kind for kind in pattern['kinds'] if hot or kind['name'] != 'hot'
     ]
     pattern['policies'] = {'admission': admission}
     played = LoadReplay(pattern=pattern).run()
@@ -84,23 +84,23 @@
 
 
 def test_hot_customer_takes_nothing_from_others():
-    alone, _served = share_of_others('fair', hot=False)
-    beside, served = share_of_others('fair', hot=True)
-    # By targets alone others fall from 99 in 100 to 87.
+    alone, _served = share_of_other_customers('fair', hot=False)
+    beside, served = share_of_other_customers('fair', hot=True)
+    # With admission by targets alone the others fall from 99% to 87%.
     assert beside > alone - 3
-    # Nor does it cost service: what others gain, the hot one has lost.
-    _others, served_by_target = share_of_others('target', hot=True)
+    # Total service stays: the others gain what the hot customer loses.
+    _others, served_by_target = share_of_other_customers('target', hot=True)
     assert served > served_by_target * 0.97
 
 
-def part_far_off(played: LoadReplay) -> float:
-    """Tell how many in 100 beliefs are off by more than 15 in 100."""
-    off = [
+def inaccurate_percentage(played: LoadReplay) -> float:
+    """Return the percentage of estimates that are off by more than 15%."""
+    errors = [
         abs(rate / TOKENS_PER_MS[number % len(TOKENS_PER_MS)] - 1)
         for number in range(20)
         for rate in played.rates(f'i-{number}')
     ]
-    return 100 * sum(each > FAR_OFF for each in off) / len(off)
+    return 100 * sum(error > MAX_ERROR for error in errors) / len(errors)
 
 
 @pytest.mark.parametrize('seed', [1, 2, 3])
@@ -111,8 +111,8 @@
         read_rates='shared',
         start_estimates='corrected',
     )
-    # If each learns by itself, 75 in 100 are.
-    assert part_far_off(played) < 20
+    # If each gateway uses its own samples only, 75% are far off.
+    assert inaccurate_percentage(played) < 20
     assert share(played.ends['long'], 'in target') > 99
     assert share(played.ends['short'], 'late') < 1
 
@@ -122,7 +122,7 @@
     before, after = (
         replay(name, engine_groups=rule) for rule in ('none', 'by_gap')
     )
-    # Callers of all kinds are to get nine in ten answers in target.
+    # Callers of each kind must get nine in ten answers in target.
     assert share(before.ends['short'], 'in target') < 90
     assert share(after.ends['short'], 'in target') >= 90
     assert share(after.ends['long'], 'in target') >= 90
