--- a/tests/load_replay.py
+++ b/tests/load_replay.py
@@ -349,10 +349,10 @@
         for kind in self._pattern.kinds:
             self._plan_arrivals(SimpleNamespace(**kind))
         for event in self._pattern.events:
-            action = getattr(self, f'_{event["what"]}')
+            event_action = getattr(self, f'_{event["what"]}')
             self._run_at(
                 int(event['at_s'] * _MS),
-                functools.partial(action, event),
+                functools.partial(event_action, event),
             )
         while self._queue:
             at_ms, _number, action = heapq.heappop(self._queue)
@@ -555,7 +555,7 @@
             self._add_engine(_LIST_DELAY_MS)
 
     def _crash(self, event: dict[str, Any]) -> None:
-        running = [engine for engine in self._engines.values() if engine.is_up]
+        running = [each for each in self._engines.values() if each.is_up]
         count = int(len(running) * event['share'])
         for engine in random.sample(running, count):
             engine.connect_error_ms = event['connect_ms']
--- a/tests/test_usage_counts.py
+++ b/tests/test_usage_counts.py
@@ -126,7 +126,7 @@
     counts.note('oslo', clock.now_ms())
     sent = dict(exchange.due(sessions))
     assert len(sent) == 3
-    assert {field[3][0] for field in sent.values()} == {(WINDOW, 'oslo', 1)}
+    assert {fields[3][0] for fields in sent.values()} == {(WINDOW, 'oslo', 1)}
     # At most once per second, and only after a change.
     counts.note('oslo', clock.now_ms())
     assert not list(exchange.due(sessions))
--- a/wingfall/gateway/knowledge/prefix_cache.py
+++ b/wingfall/gateway/knowledge/prefix_cache.py
@@ -82,8 +82,8 @@
         '_capacity',
         '_engine',
         '_index',
-        '_ready_ms',
         '_parts',
+        '_ready_ms',
         '_tokens',
     )
 
--- a/wingfall/gateway/knowledge/prefix_caches.py
+++ b/wingfall/gateway/knowledge/prefix_caches.py
@@ -34,7 +34,7 @@
 
         :param endpoint: name of the engine.
         :param parts: shared parts of the prompt.
-        :param unread: tokens of the prompt that the engine likely didn't cache.
+        :param unread: tokens that the engine likely didn't cache.
         """
         self.endpoint = endpoint
         self.parts = parts
--- a/wingfall/gateway/knowledge/true_time.py
+++ b/wingfall/gateway/knowledge/true_time.py
@@ -25,7 +25,7 @@
 class TrueTime:
     """Estimate of the time of day from the own clock and from peers."""
 
-    __slots__ = ('_clock', '_own_offset_ms', '_peer_offsets_ms', '_wall')
+    __slots__ = ('_clock', '_other_offsets_ms', '_own_offset_ms', '_wall')
 
     def __init__(self, *, clock: Clock, wall: Clock) -> None:
         """Initialize the estimate with the own time of day.
@@ -38,7 +38,7 @@
         # Wall clock minus steady clock, as it was before any jump.
         self._own_offset_ms = wall.now_ms() - clock.now_ms()
         # Time of day of each peer minus the steady clock.
-        self._peer_offsets_ms: dict[str, int] = {}
+        self._other_offsets_ms: dict[str, int] = {}
 
     @property
     def own_ms(self) -> int:
@@ -58,7 +58,7 @@
         :param clock_ms: milliseconds of the steady clock.
         :returns: milliseconds since 1970.
         """
-        offsets_ms = (self._own_offset_ms, *self._peer_offsets_ms.values())
+        offsets_ms = (self._own_offset_ms, *self._other_offsets_ms.values())
         return clock_ms + int(statistics.median(offsets_ms))
 
     def look(self) -> int:
@@ -79,11 +79,11 @@
         :param name: name of the peer.
         :param reported_ms: reported time in milliseconds since 1970.
         """
-        self._peer_offsets_ms[name] = reported_ms - self._clock.now_ms()
+        self._other_offsets_ms[name] = reported_ms - self._clock.now_ms()
 
     def forget(self, name: str) -> None:
         """Remove the time of a peer.
 
         :param name: name of the peer.
         """
-        self._peer_offsets_ms.pop(name, None)
+        self._other_offsets_ms.pop(name, None)
--- a/wingfall/gateway/knowledge/usage_counts.py
+++ b/wingfall/gateway/knowledge/usage_counts.py
@@ -28,10 +28,10 @@
     """The known request counts of all gateways."""
 
     __slots__ = (
+        '_changed_at',
         '_first_window',
+        '_other_counts',
         '_own',
-        '_peers',
-        '_revisions',
         '_true_time',
         '_window_ms',
         'delivered',
@@ -48,9 +48,9 @@
         self._window_ms = window_ms
         self._own: dict[_Key, int] = collections.defaultdict(int)
         # The revision at which each own count last rose.
-        self._revisions: dict[_Key, int] = {}
+        self._changed_at: dict[_Key, int] = {}
         # Counts of other gateways by process.
-        self._peers: dict[str, dict[_Key, int]] = {}
+        self._other_counts: dict[str, dict[_Key, int]] = {}
         # Incremented with each request.
         self.revision = 0
         # The last window up to which all are reported or expired; 0 if unknown.
@@ -96,7 +96,7 @@
         window = self._true_time.at(clock_ms) // self._window_ms
         self.revision += 1
         self._own[window, customer] += 1
-        self._revisions[window, customer] = self.revision
+        self._changed_at[window, customer] = self.revision
 
     def changes_since(self, revision: int) -> list[tuple[int, str, int]]:
         """Return the own counts that rose after a revision.
@@ -106,7 +106,7 @@
         """
         return [
             (*key, self._own[key])
-            for key, changed in self._revisions.items()
+            for key, changed in self._changed_at.items()
             if changed > revision
         ]
 
@@ -118,7 +118,7 @@
         :param source: the process that counted.
         :param entries: window, customer and count of each.
         """
-        known = self._peers.setdefault(source, {})
+        known = self._other_counts.setdefault(source, {})
         for window, customer, count in entries:
             key = (window, customer)
             known[key] = max(count, known.get(key, 0))
@@ -130,7 +130,7 @@
         :returns: number of requests by customer.
         """
         counts: collections.Counter[str] = collections.Counter()
-        for known in (self._own, *self._peers.values()):
+        for known in (self._own, *self._other_counts.values()):
             for (counted_window, customer), count in known.items():
                 if counted_window == window:
                     counts[customer] += count
@@ -141,12 +141,14 @@
         oldest = self.window - _MAX_WINDOWS
         for known in (
             self._own,
-            self._revisions,
-            *self._peers.values(),
+            self._changed_at,
+            *self._other_counts.values(),
         ):
-            expired = {key for key in known if key[0] < oldest}
+            expired = {each for each in known if each[0] < oldest}
             for key in expired:
                 known.pop(key)
-        self._peers = {
-            source: known for source, known in self._peers.items() if known
+        self._other_counts = {
+            source: known
+            for source, known in self._other_counts.items()
+            if known
         }
