--- a/wingfall/gateway/knowledge/usage_counts.py
+++ b/wingfall/gateway/knowledge/usage_counts.py
@@ -30,7 +30,7 @@
     __slots__ = (
         '_changed_at',
         '_first_window',
-        '_other_counts',
+        '_others',
         '_own',
         '_true_time',
         '_window_ms',
@@ -50,7 +50,7 @@
         # The revision at which each own count last rose.
         self._changed_at: dict[_Key, int] = {}
         # Counts of other gateways by process.
-        self._other_counts: dict[str, dict[_Key, int]] = {}
+        self._others: dict[str, dict[_Key, int]] = {}
         # Incremented with each request.
         self.revision = 0
         # The last window up to which all are reported or expired; 0 if unknown.
@@ -118,7 +118,7 @@
         :param source: the process that counted.
         :param entries: window, customer and count of each.
         """
-        known = self._other_counts.setdefault(source, {})
+        known = self._others.setdefault(source, {})
         for window, customer, count in entries:
             key = (window, customer)
             known[key] = max(count, known.get(key, 0))
@@ -130,7 +130,7 @@
         :returns: number of requests by customer.
         """
         counts: collections.Counter[str] = collections.Counter()
-        for known in (self._own, *self._other_counts.values()):
+        for known in (self._own, *self._others.values()):
             for (counted_window, customer), count in known.items():
                 if counted_window == window:
                     counts[customer] += count
@@ -139,16 +139,10 @@
     def forget_old(self) -> None:
         """Remove windows that are too old to be reported."""
         oldest = self.window - _MAX_WINDOWS
-        for known in (
-            self._own,
-            self._changed_at,
-            *self._other_counts.values(),
-        ):
+        for known in (self._own, self._changed_at, *self._others.values()):
             expired = {each for each in known if each[0] < oldest}
             for key in expired:
                 known.pop(key)
-        self._other_counts = {
-            source: known
-            for source, known in self._other_counts.items()
-            if known
+        self._others = {
+            source: known for source, known in self._others.items() if known
         }
