--- a/wingfall/gateway/calls/admission.py
+++ b/wingfall/gateway/calls/admission.py
@@ -1,4 +1,4 @@
-"""Admits a prompt, or refuses it since it would start too late."""
+"""Admission of prompts: refuses a prompt that would start too late."""
 
 from __future__ import annotations
 
@@ -42,20 +42,20 @@
     pool: str,
     destination: Destination,
 ) -> Result[Destination, Refusal]:
-    """Admit a prompt that was sent nowhere yet.
+    """Admit or refuse a prompt that was not sent to any engine yet.
 
-    :param state: what the gateway knows.
-    :param call: the call; one without a prompt is admitted.
-    :param pool: name of its pool.
-    :param destination: where it is to go.
-    :returns: where it goes, or the refusal that answers it.
+    :param state: state of the gateway.
+    :param call: the call; a call without a prompt is always admitted.
+    :param pool: name of the call's pool.
+    :param destination: the destination that placement chose.
+    :returns: the destination to use, or the refusal to answer with.
     """
     if call.head.prompt is None or state.routes is None:
         return Success(destination)
     admission = _choose_admission(state, pool)
     if admission.weighs_pool:
-        _note_asked(state, call, destination)
-        return _admit_to_pool(state, call, pool, destination)
+        _record_requested_work(state, call, destination)
+        return _admit_pool_wide(state, call, pool, destination)
     estimate = estimate_start(state, call, destination)
     admitted = admission(estimate)
     if isinstance(admitted, Success):
@@ -67,27 +67,27 @@
 def note_given(
     state: GatewayState, call: Call, destination: Destination
 ) -> None:
-    """Count the work of a prompt that is sent as given to its customer.
+    """Record the work of a prompt that is sent as given to its customer.
 
-    :param state: what the gateway knows.
+    :param state: state of the gateway.
     :param call: the call.
-    :param destination: where it is sent.
+    :param destination: the destination that the call is sent to.
     """
     pool = destination.endpoint.pool
     if _choose_admission(state, pool).weighs_pool:
-        given = Work(given=_work(call, destination))
+        given = Work(given=_call_work(call, destination))
         state.knowledge.customer_work.note(pool, call.customer_name, given)
 
 
 def _choose_admission(state: GatewayState, pool: str) -> Admission:
-    # In a small pool there is hardly another engine to look for.
+    # A small pool has hardly any other engine to search.
     chosen = state.policies.admission
     if chosen.weighs_pool and not state.knowledge.judges_together(pool):
         return admissions.find('target').unwrap()
     return chosen
 
 
-def _admit_to_pool(
+def _admit_pool_wide(
     state: GatewayState,
     call: Call,
     pool: str,
@@ -97,26 +97,30 @@
     estimate = functools.partial(
         estimate_start, state, call, margin=start_margin(error)
     )
-    # What is in time for customers far above their shares is so for all.
+    # A start in time for customers far above their shares is so for all.
     if _is_in_time(state, estimate(chosen, MOST_OVER_SHARE)):
         return Success(chosen)
-    use = state.fair_shares.find(pool).use(call.customer_name)
-    if _is_in_time(state, estimate(chosen, use)):
+    relative_use = state.fair_shares.find(pool).use(call.customer_name)
+    if _is_in_time(state, estimate(chosen, relative_use)):
         return Success(chosen)
-    room = find_room(
+    capacity = find_room(
         state,
         call,
         chosen,
-        lambda each: _is_in_time(state, estimate(each, use)),
+        lambda each: _is_in_time(state, estimate(each, relative_use)),
     )
-    if not room.in_time:
-        return Failure(_refuse(state, call, estimate(room.soonest, use), room))
-    # Its customer's share tells whether it is admitted, not where it goes: the
+    if not capacity.in_time:
+        return Failure(
+            _refuse(
+                state, call, estimate(capacity.soonest, relative_use), capacity
+            )
+        )
+    # The customer's share decides about admission, not about the engine: the
     # chosen engine may cache the prompt.
     if _is_in_time(state, estimate(chosen)):
         return Success(chosen)
-    _count(state, 'other_engine')
-    return Success(take_room(state, call, pool, room))
+    _count_decision(state, 'other_engine')
+    return Success(take_room(state, call, pool, capacity))
 
 
 def _is_in_time(state: GatewayState, estimate: StartEstimate) -> bool:
@@ -124,15 +128,18 @@
 
 
 def _refuse(
-    state: GatewayState, call: Call, estimate: StartEstimate, room: PoolRoom
+    state: GatewayState,
+    call: Call,
+    estimate: StartEstimate,
+    capacity: PoolRoom,
 ) -> Refusal:
-    pool = room.soonest.endpoint.pool
+    pool = capacity.soonest.endpoint.pool
     reason = tell_reason(estimate)
-    _count(state, reason)
+    _count_decision(state, reason)
     shares = state.fair_shares.find(pool)
     _log_refusal(
         call,
-        room.soonest,
+        capacity.soonest,
         estimate,
         pool=pool,
         reason=reason,
@@ -140,50 +147,50 @@
         margin=round(estimate.margin, 2),
         share_age_ms=state.clock.now_ms() - shares.worked_out_ms,
         estimate_age_ms=state.knowledge.first_event_age_ms(pool),
-        engines=room.engines,
+        engines=capacity.engines,
     )
     retry_ms = state.policies.admission(estimate).swap().value_or(0)
     draw = random.random()  # noqa: S311
     return refuse_early(spread_ms(retry_ms, estimate.left_ms, draw))
 
 
-def _note_asked(
+def _record_requested_work(
     state: GatewayState, call: Call, destination: Destination
 ) -> None:
     if call.asked:
         return
     call.asked = True
-    asked = Work(asked=_work(call, destination))
+    requested = Work(asked=_call_work(call, destination))
     state.knowledge.customer_work.note(
-        destination.endpoint.pool, call.customer_name, asked
+        destination.endpoint.pool, call.customer_name, requested
     )
 
 
-def _work(call: Call, destination: Destination) -> float:
+def _call_work(call: Call, destination: Destination) -> float:
     prompt = call.head.prompt
     output_tokens = prompt.output_tokens if prompt else 0
     return prompt_work(destination.load.reading_tokens, output_tokens)
 
 
-def _count(state: GatewayState, reason: str) -> None:
+def _count_decision(state: GatewayState, reason: str) -> None:
     state.metrics.decisions.inc({'part': 'admission', 'reason': reason})
 
 
 def _log_refusal(
     call: Call,
-    soonest: Destination,
+    destination: Destination,
     estimate: StartEstimate,
-    **further: Any,
+    **fields: Any,
 ) -> None:
     log_event(
         'admission',
         'A prompt would start too late.',
         call=call.call_id,
         customer=call.customer.name if call.customer else None,
-        endpoint=soonest.endpoint.name,
-        reading=soonest.candidate.reading_tokens,
+        endpoint=destination.endpoint.name,
+        reading=destination.candidate.reading_tokens,
         start_ms=int(estimate.start_ms),
         target_ms=estimate.target_ms,
         left_ms=estimate.left_ms,
-        **further,
+        **fields,
     )
--- a/wingfall/gateway/calls/pool_room.py
+++ b/wingfall/gateway/calls/pool_room.py
@@ -1,7 +1,7 @@
-"""When a prompt would start at the engines of a pool.
+"""Estimates of when a prompt would start at the engines of a pool.
 
-Only collects: which engines there are, what waits there and how fast they are;
-:mod:`wingfall.gateway.rules.admission.early_refusal` tells which start is in
+Only collects the engines, their queues and their speeds;
+:mod:`wingfall.gateway.rules.admission.early_refusal` decides which start is in
 time.
 """
 
@@ -25,17 +25,17 @@
     from wingfall.gateway.model.pool_endpoint import PoolEndpoint
     from wingfall.gateway.state import GatewayState
 
-# Engines in time that are drawn to be weighed: few, so that gateways that find
-# the same engines in time don't all send to the best of them.
-_MOST_DRAWN: Final = 6
-# Engines that cache the most of the prompt, which are weighed if they are in
-# time, and else copied from.
-_MOST_CACHING: Final = 3
+# Size of the random sample of engines in time that placement considers: small,
+# so that gateways with the same estimates don't all send to the same engine.
+_MAX_SAMPLED_ENGINES: Final = 6
+# Number of engines with the most cached tokens of the prompt. Placement
+# considers them if they are in time, otherwise it may copy from them.
+_MAX_CACHING_ENGINES: Final = 3
 
 
 @final
 class PoolRoom:
-    """Where in a pool a prompt could start, and when."""
+    """Destinations in a pool, divided by whether a prompt starts in time."""
 
     __slots__ = ('in_time', 'late')
 
@@ -45,22 +45,22 @@
         in_time: list[Destination],
         late: list[Destination],
     ) -> None:
-        """Keep what was found.
+        """Initialize the destinations.
 
-        :param in_time: where it would be admitted.
-        :param late: where not, one at least.
+        :param in_time: destinations at which the prompt starts in time.
+        :param late: all other destinations, at least one.
         """
         self.in_time = in_time
         self.late = late
 
     @property
     def engines(self) -> int:
-        """How many engines take prompts."""
+        """Number of engines that accept prompts."""
         return len(self.in_time) + len(self.late)
 
     @property
     def soonest(self) -> Destination:
-        """Where it would start first."""
+        """The destination with the earliest start."""
         return min((*self.in_time, *self.late), key=_start_ms)
 
 
@@ -68,16 +68,16 @@
     state: GatewayState,
     call: Call,
     destination: Destination,
-    use: float = 1,
+    relative_use: float = 1,
     margin: float = 1,
 ) -> StartEstimate:
     """Estimate when a prompt would start at an engine.
 
-    :param state: what the gateway knows.
+    :param state: state of the gateway.
     :param call: the call, which has a prompt.
-    :param destination: where it would go.
-    :param use: what its customer uses as a multiple of its fair share.
-    :param margin: by how many times most starts are later than estimated at
+    :param destination: the engine's destination.
+    :param relative_use: the customer's use as a multiple of its fair share.
+    :param margin: factor by which most starts are later than estimated at
         most.
     :returns: the estimate.
     """
@@ -94,7 +94,7 @@
         lowest=call.route.tier >= tiers[-1],
         alone_ms=expected_ms(speed.read_ms(destination.load.reading_tokens)),
         stream_ms=_stream_ms(state, call, destination),
-        use=use,
+        use=relative_use,
         margin=margin,
     )
 
@@ -103,15 +103,15 @@
     state: GatewayState,
     call: Call,
     chosen: Destination,
-    judge: Callable[[Destination], bool],
+    is_in_time: Callable[[Destination], bool],
 ) -> PoolRoom:
-    """Look for room at all engines of a pool.
+    """Find the engines of a pool that would start a prompt in time.
 
-    :param state: what the gateway knows.
-    :param call: the call, which was sent nowhere yet.
-    :param chosen: where placement would send it, which is too late.
-    :param judge: tells whether it would be in time at an engine.
-    :returns: what was found.
+    :param state: state of the gateway.
+    :param call: the call, which was not sent to any engine yet.
+    :param chosen: the destination that placement chose, which is too late.
+    :param is_in_time: checks if a destination starts the prompt in time.
+    :returns: the destinations in time and the late ones.
     """
     in_time: list[Destination] = []
     late = [chosen]
@@ -119,40 +119,42 @@
         if endpoint.name == chosen.endpoint.name:
             continue
         destination = _describe_destination(state, call, endpoint)
-        (in_time if judge(destination) else late).append(destination)
+        (in_time if is_in_time(destination) else late).append(destination)
     return PoolRoom(in_time=in_time, late=late)
 
 
 def take_room(
-    state: GatewayState, call: Call, pool: str, room: PoolRoom
+    state: GatewayState, call: Call, pool: str, capacity: PoolRoom
 ) -> Destination:
     """Choose an engine that starts a prompt in time.
 
-    :param state: what the gateway knows.
+    :param state: state of the gateway.
     :param call: the call.
-    :param pool: name of its pool.
-    :param room: where there is room, at one engine at least.
-    :returns: the destination.
+    :param pool: name of the call's pool.
+    :param capacity: destinations, at least one of them in time.
+    :returns: the chosen destination.
     """
-    caching = _list_caching(room.in_time)
-    drawn = room.in_time
-    if len(drawn) > _MOST_DRAWN:
-        drawn = random.sample(drawn, _MOST_DRAWN)
-    weighed = {each.endpoint.name: each.endpoint for each in (*caching, *drawn)}
-    sources = _list_caching(room.late)
+    caching = _list_caching(capacity.in_time)
+    sample = capacity.in_time
+    if len(sample) > _MAX_SAMPLED_ENGINES:
+        sample = random.sample(sample, _MAX_SAMPLED_ENGINES)
+    endpoints = {
+        each.endpoint.name: each.endpoint for each in (*caching, *sample)
+    }
+    sources = _list_caching(capacity.late)
     return choose_among(
         state,
         call,
         pool,
-        list(weighed.values()),
+        list(endpoints.values()),
         [each.endpoint for each in sources],
     )
 
 
 def _list_caching(destinations: list[Destination]) -> list[Destination]:
-    # None that caches nothing: they would be the same few for all gateways.
+    # Engines that cache nothing would be the same few at all gateways.
     caching = [each for each in destinations if _cached_tokens(each)]
-    return sorted(caching, key=_cached_tokens)[-_MOST_CACHING:]
+    return sorted(caching, key=_cached_tokens)[-_MAX_CACHING_ENGINES:]
 
 
 def _describe_destination(
