--- a/wingfall/gateway/calls/destination.py
+++ b/wingfall/gateway/calls/destination.py
@@ -1,7 +1,7 @@
-"""Where a call goes: what is known of a pool's endpoints, put to the rules.
+"""Choice of the destination of a call.
 
-Relies on :mod:`wingfall.gateway.rules` for each decision and only collects
-their inputs.
+Collects the inputs of the placement rules; :mod:`wingfall.gateway.rules`
+decides.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
     from wingfall.gateway.rules.placement.candidate import Demand
     from wingfall.gateway.state import GatewayState
 
-# What peers sent an engine in the last tenths of a second is not known yet, so
-# that gateways that all take the same engine for the best send to it at once. A
-# guess drawn for each engine parts them: up to the length of a long read.
-_UNSEEN_TOKENS: Final = 5000
+# Prompts that peers sent in the last tenths of a second are not reported yet,
+# so gateways that rate the same engine best would all send to it at once. A
+# random estimate for each engine, up to a long prefill, spreads their choices.
+_MAX_UNREPORTED_TOKENS: Final = 5000
 
 
 @final
 class Destination:
-    """Where a call goes next, and what decided it."""
+    """The endpoint of the next attempt, and the inputs of that choice."""
 
     __slots__ = (
         'backup',
@@ -57,14 +57,14 @@
         backup: PoolEndpoint | None = None,
         continues: bool = False,
     ) -> None:
-        """Keep a decision.
+        """Create a destination.
 
-        :param endpoint: the endpoint.
-        :param candidate: what was known of it.
-        :param load: the work that the call adds there.
-        :param source: the engine that it copies parts of the prompt from.
+        :param endpoint: the endpoint that the call is sent to.
+        :param candidate: the properties that the choice was based on.
+        :param load: the load that the call adds to the endpoint.
+        :param source: the engine to copy cached prompt parts from.
         :param backup: the engine that keeps a copy of the run.
-        :param continues: whether the endpoint holds such a copy already.
+        :param continues: whether the endpoint already holds such a copy.
         """
         self.endpoint = endpoint
         self.candidate = candidate
@@ -75,9 +75,11 @@
 
     @property
     def start_ms(self) -> float:
-        """Milliseconds until the answer begins, by what was to be read."""
-        waiting = self.candidate.reading_tokens + self.load.reading_tokens
-        return self.candidate.speed.read_ms(waiting)
+        """Milliseconds of prefill until the answer starts."""
+        pending_tokens = (
+            self.candidate.reading_tokens + self.load.reading_tokens
+        )
+        return self.candidate.speed.read_ms(pending_tokens)
 
 
 def choose_destination(
@@ -86,51 +88,52 @@
     pool: str,
     avoided: set[str],
 ) -> Destination | None:
-    """Choose where a call goes.
+    """Choose the destination of a call.
 
-    :param state: what the gateway knows.
+    :param state: state of the gateway.
     :param call: the call.
-    :param pool: name of its pool.
-    :param avoided: endpoints that it was sent to before.
+    :param pool: name of the call's pool.
+    :param avoided: names of the endpoints of earlier attempts.
     :returns: the destination, None if the pool has no endpoint left.
     """
-    weighed = list_weighed(state, call, pool, avoided)
-    return choose_among(state, call, pool, weighed) if weighed else None
+    endpoints = list_weighed(state, call, pool, avoided)
+    return choose_among(state, call, pool, endpoints) if endpoints else None
 
 
 def choose_among(
     state: GatewayState,
     call: Call,
     pool: str,
-    weighed: list[PoolEndpoint],
+    endpoints: list[PoolEndpoint],
     sources: Sequence[PoolEndpoint] = (),
 ) -> Destination:
-    """Choose one of some endpoints.
+    """Choose one of the given endpoints.
 
-    :param state: what the gateway knows.
+    :param state: state of the gateway.
     :param call: the call.
-    :param pool: name of its pool.
-    :param weighed: the endpoints, at least one.
-    :param sources: others that parts of the prompt may be copied from.
+    :param pool: name of the call's pool.
+    :param endpoints: the endpoints to choose from, at least one.
+    :param sources: further engines to copy cached prompt parts from.
     :returns: the destination.
     """
-    listed = {each.name: each for each in (*weighed, *sources)}
+    endpoints_by_name = {each.name: each for each in (*endpoints, *sources)}
     demand = describe_demand(call)
     described = [
-        describe_endpoint(state, call, each) for each in listed.values()
+        describe_endpoint(state, call, each)
+        for each in endpoints_by_name.values()
     ]
-    source = _offer_copies(state, call, pool, described)
-    candidates = described[: len(weighed)]
+    source = _set_copied_tokens(state, call, pool, described)
+    candidates = described[: len(endpoints)]
     chosen = state.policies.placement(demand, candidates)
     candidates.remove(chosen)
     backup = _choose_backup(state, call, pool, demand, candidates)
     copies = source is not None and chosen.copied_tokens
     return Destination(
-        endpoint=listed[chosen.name],
+        endpoint=endpoints_by_name[chosen.name],
         candidate=chosen,
         load=added_load(call.head.prompt, demand, chosen),
-        source=listed[source.name] if source and copies else None,
-        backup=listed[backup.name] if backup else None,
+        source=endpoints_by_name[source.name] if source and copies else None,
+        backup=endpoints_by_name[backup.name] if backup else None,
     )
 
 
@@ -139,18 +142,18 @@
     call: Call,
     endpoint: PoolEndpoint,
 ) -> Candidate:
-    """Collect what is known of an endpoint.
+    """Collect the properties of an endpoint for a call.
 
-    :param state: what the gateway knows.
+    :param state: state of the gateway.
     :param call: the call.
     :param endpoint: the endpoint.
-    :returns: the inputs of the rules.
+    :returns: the inputs of the placement rules.
     """
-    known, prompt = state.knowledge, call.head.prompt
-    load = known.load.total(endpoint.name)
+    knowledge, prompt = state.knowledge, call.head.prompt
+    load = knowledge.load.total(endpoint.name)
     cached, all_cached, memory_tokens = 0, 0, 0
     if prompt is not None:
-        cache = known.caches.find(endpoint.name)
+        cache = knowledge.caches.find(endpoint.name)
         cached = cache.cached_tokens(prompt.shared)
         all_cached = cache.tokens
         pool = _find_pool(state, endpoint.pool)
@@ -166,10 +169,10 @@
         cached_tokens=cached,
         all_cached_tokens=all_cached,
         streams=load.streams,
-        speed=known.speed(endpoint.name),
-        long_reads=known.long_reads.tokens(endpoint.name),
-        unseen_tokens=random.uniform(0, _UNSEEN_TOKENS),  # noqa: S311
-        failing=known.health.failing(endpoint.name),
+        speed=knowledge.speed(endpoint.name),
+        long_reads=knowledge.long_reads.tokens(endpoint.name),
+        unseen_tokens=random.uniform(0, _MAX_UNREPORTED_TOKENS),  # noqa: S311
+        failing=knowledge.health.failing(endpoint.name),
         safe_gap_ms=state.kept_engines.safe_gap_ms(
             endpoint.pool, endpoint.name
         ),
@@ -181,12 +184,12 @@
     demand: Demand,
     candidate: Candidate,
 ) -> EndpointLoad:
-    """Tell what work a call adds at an endpoint.
+    """Return the load that a call adds to an endpoint.
 
-    :param prompt: its prompt, if any.
-    :param demand: what it asks.
-    :param candidate: what is known of the endpoint.
-    :returns: the work.
+    :param prompt: prompt of the call, None for a plain request.
+    :param demand: what the call requires.
+    :param candidate: properties of the endpoint.
+    :returns: the added load.
     """
     if prompt is None:
         return EndpointLoad(running=1)
@@ -199,19 +202,19 @@
     )
 
 
-def _offer_copies(
+def _set_copied_tokens(
     state: GatewayState,
     call: Call,
     pool: str,
     candidates: list[Candidate],
 ) -> Candidate | None:
-    known = _find_pool(state, pool)
-    if known is None or call.head.prompt is None:
+    known_pool = _find_pool(state, pool)
+    if known_pool is None or call.head.prompt is None:
         return None
     rate = state.knowledge.speeds.average(pool).tokens_per_ms
     source = state.policies.cache_transfer(
         candidates,
-        known.copy_tokens_per_ms / rate,
+        known_pool.copy_tokens_per_ms / rate,
     )
     for candidate in candidates:
         candidate.copied_tokens = copied_tokens(candidate, source)
@@ -225,8 +228,12 @@
     demand: Demand,
     candidates: list[Candidate],
 ) -> Candidate | None:
-    known = _find_pool(state, pool)
-    if known is None or not known.backs_up or not call.route.streaming:
+    known_pool = _find_pool(state, pool)
+    if (
+        known_pool is None
+        or not known_pool.backs_up
+        or not call.route.streaming
+    ):
         return None
     return choose_backup(
         candidates,
--- a/wingfall/gateway/calls/engine_group.py
+++ b/wingfall/gateway/calls/engine_group.py
@@ -1,4 +1,4 @@
-"""The engines that the group of a prompt has for it."""
+"""Selection of the engines in the group of a prompt."""
 
 from __future__ import annotations
 
@@ -13,23 +13,24 @@
 def narrow_to_group(
     state: GatewayState,
     demand: Demand,
-    listed: list[PoolEndpoint],
-    is_sound: Callable[[str], bool],
+    endpoints: list[PoolEndpoint],
+    is_available: Callable[[str], bool],
 ) -> list[PoolEndpoint]:
-    """Leave out endpoints that are kept for streams of another kind.
+    """Exclude endpoints that are reserved for streams of another kind.
 
-    :param state: what the gateway knows.
-    :param demand: what a call asks.
-    :param listed: endpoints of its pool that take new work.
-    :param is_sound: whether the call may go to an endpoint without a doubt.
-    :returns: those of its group; all if it has none, or none that is sound.
+    :param state: state of the gateway.
+    :param demand: what a call requires.
+    :param endpoints: endpoints of the pool that accept new work.
+    :param is_available: checks if an endpoint is available, given its name.
+    :returns: endpoints of the call's group; all endpoints if there is no group
+        or no endpoint of the group is available.
     """
-    if not (listed and demand.is_prompt and state.routes):
-        return listed
-    if not state.knowledge.judges_together(listed[0].pool):
-        state.kept_engines.forget(listed[0].pool)
-        return listed
-    group = state.kept_engines.narrow(state.routes, demand, listed)
-    if group is listed or any(is_sound(each.name) for each in group):
+    if not (endpoints and demand.is_prompt and state.routes):
+        return endpoints
+    if not state.knowledge.judges_together(endpoints[0].pool):
+        state.kept_engines.forget(endpoints[0].pool)
+        return endpoints
+    group = state.kept_engines.narrow(state.routes, demand, endpoints)
+    if group is endpoints or any(is_available(each.name) for each in group):
         return group
-    return listed
+    return endpoints
--- a/wingfall/gateway/calls/open_endpoints.py
+++ b/wingfall/gateway/calls/open_endpoints.py
@@ -1,6 +1,6 @@
-"""Which endpoints of a pool a call may go to.
+"""Selection of the endpoints of a pool that a call may be sent to.
 
-Joins what is known of them with :mod:`wingfall.gateway.rules.placement`.
+Collects the inputs of :mod:`wingfall.gateway.rules.placement`.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 
 
 def describe_demand(call: Call) -> Demand:
-    """Collect what a call asks of an endpoint.
+    """Collect what a call requires of an endpoint.
 
     :param call: the call.
-    :returns: the inputs of the rules.
+    :returns: the inputs of the placement rules.
     """
     prompt = call.head.prompt
     if prompt is None:
@@ -51,79 +51,81 @@
     pool: str,
     avoided: set[str],
 ) -> list[PoolEndpoint]:
-    """List the endpoints that a call is weighed at.
+    """List the endpoints that placement considers for a call.
 
-    :param state: what the gateway knows.
+    :param state: state of the gateway.
     :param call: the call.
-    :param pool: name of its pool.
-    :param avoided: endpoints that it was sent to before.
-    :returns: some of a large pool, none if there is no endpoint left.
+    :param pool: name of the call's pool.
+    :param avoided: names of the endpoints of earlier attempts.
+    :returns: a sample of a large pool; empty if no endpoint is left.
     """
-    is_out = state.knowledge.health.is_out
-    is_held = _held_endpoints(state, call, pool)
-    usable = _list_group(state, call, pool, avoided)
+    is_ejected = state.knowledge.health.is_out
+    is_withheld = _withheld_check(state, call, pool)
+    usable = _list_group_endpoints(state, call, pool, avoided)
     prompt = call.head.prompt
-    drawn = count_drawn(prompt.tokens if prompt else 0)
-    if not is_weighed_whole(usable, drawn):
-        caching = _endpoints_that_cache(state, call, usable)
-        sound = list_sound(
-            shorten(usable, caching, drawn),
+    sample_size = count_drawn(prompt.tokens if prompt else 0)
+    if not is_weighed_whole(usable, sample_size):
+        caching = _list_caching(state, call, usable)
+        available = list_sound(
+            shorten(usable, caching, sample_size),
             avoided,
-            lambda name: is_out(name) or is_held(name),
+            lambda name: is_ejected(name) or is_withheld(name),
         )
-        if sound:
-            return sound
-    free = [each for each in usable if not is_held(each.name)]
-    return prefer_sound(free, avoided, is_out)
+        if available:
+            return available
+    accepting = [each for each in usable if not is_withheld(each.name)]
+    return prefer_sound(accepting, avoided, is_ejected)
 
 
 def list_open(state: GatewayState, call: Call, pool: str) -> list[PoolEndpoint]:
-    """List all endpoints of a pool that a call may go to.
+    """List all endpoints of a pool that a call may be sent to.
 
-    :param state: what the gateway knows.
-    :param call: the call, which was sent nowhere yet.
-    :param pool: name of its pool.
-    :returns: those that are neither left out nor held.
+    :param state: state of the gateway.
+    :param call: the call, which was not sent to any endpoint yet.
+    :param pool: name of the call's pool.
+    :returns: endpoints that are neither ejected nor withheld.
     """
-    is_out = state.knowledge.health.is_out
-    is_held = _held_endpoints(state, call, pool)
+    is_ejected = state.knowledge.health.is_out
+    is_withheld = _withheld_check(state, call, pool)
     return list_sound(
-        _list_group(state, call, pool, set()),
+        _list_group_endpoints(state, call, pool, set()),
         (),
-        lambda name: is_out(name) or is_held(name),
+        lambda name: is_ejected(name) or is_withheld(name),
     )
 
 
-def _list_group(
+def _list_group_endpoints(
     state: GatewayState,
     call: Call,
     pool: str,
     avoided: set[str],
 ) -> list[PoolEndpoint]:
-    is_out = state.knowledge.health.is_out
-    is_held = _held_endpoints(state, call, pool)
+    is_ejected = state.knowledge.health.is_out
+    is_withheld = _withheld_check(state, call, pool)
     return narrow_to_group(
         state,
         describe_demand(call),
         state.knowledge.table.usable(pool),
-        lambda name: not (name in avoided or is_out(name) or is_held(name)),
+        lambda name: (
+            not (name in avoided or is_ejected(name) or is_withheld(name))
+        ),
     )
 
 
-def _held_endpoints(
+def _withheld_check(
     state: GatewayState,
     call: Call,
     pool: str,
 ) -> Callable[[str], bool]:
-    spared = state.held_calls.gives_way(
+    must_yield = state.held_calls.gives_way(
         pool,
         call.priority,
         state.clock.now_ms(),
     )
-    return functools.partial(state.gate.is_held, spared=spared)
+    return functools.partial(state.gate.is_held, spared=must_yield)
 
 
-def _endpoints_that_cache(
+def _list_caching(
     state: GatewayState,
     call: Call,
     usable: list[PoolEndpoint],
