--- a/wingfall/gateway/calls/held_pool.py
+++ b/wingfall/gateway/calls/held_pool.py
@@ -1,4 +1,4 @@
-"""Holds calls off for what endpoints have said of themselves."""
+"""Deferral of calls whose endpoints report that they take no call now."""
 
 from __future__ import annotations
 
@@ -19,35 +19,37 @@
     from wingfall.gateway.model.call import Call
     from wingfall.gateway.state import GatewayState
 
-# Endpoints that a log line names.
-_MOST_SHOWN: Final = 8
+# Number of endpoints in a log line.
+_MAX_LOGGED_ENDPOINTS: Final = 8
 
 
 def hold_off(state: GatewayState, call: Call, pool: str) -> Refusal | None:
-    """Refuse a call at once for what the pool's endpoints have said.
+    """Defer a call if endpoints of its pool are withheld.
 
-    :param state: what the gateway knows.
+    :param state: state of the gateway.
     :param call: the call, which has not run.
-    :param pool: name of its pool.
-    :returns: the refusal, None if no endpoint holds calls off.
+    :param pool: name of the call's pool.
+    :returns: the refusal, None if no endpoint is withheld.
     """
-    holding = _list_holding(state, pool)
-    if not holding:
+    withheld = _list_withheld(state, pool)
+    if not withheld:
         return None
-    opening = _describe_opening(state, holding)
-    reasons = {name: state.gate.why_held(name) for name in holding}
+    slots = _describe_slots(state, withheld)
+    reasons = {name: state.gate.why_held(name) for name in withheld}
     now_ms = state.clock.now_ms()
-    retry_ms = state.held_calls.hold(pool, call.priority, opening, now_ms)
+    retry_ms = state.held_calls.hold(pool, call.priority, slots, now_ms)
     log_event(
         'held',
         'No endpoint of the pool takes a call now.',
         call=call.call_id,
         pool=pool,
         tier=call.priority,
-        endpoints=dict(itertools.islice(reasons.items(), _MOST_SHOWN)),
+        endpoints=dict(
+            itertools.islice(reasons.items(), _MAX_LOGGED_ENDPOINTS)
+        ),
         holding=len(reasons),
-        first_ms=int(opening.first_ms),
-        every_ms=int(opening.every_ms),
+        first_ms=int(slots.first_ms),
+        every_ms=int(slots.every_ms),
         gateways=len(state.gate.gateways),
     )
     resting = set(reasons.values()) == {Held.resting}
@@ -59,36 +61,36 @@
     call: Call,
     destination: Destination,
 ) -> AttemptOutcome | None:
-    """Tell whether an attempt is over before it begins.
+    """Defer an attempt if its endpoint is withheld.
 
-    What an endpoint says may have come since the call was placed, while it
-    waited for a shared part.
+    The endpoint may have been withheld after it was chosen, while the call
+    waited for the prefill of a shared part.
 
-    :param state: what the gateway knows.
+    :param state: state of the gateway.
     :param call: the call.
-    :param destination: where it is to go.
-    :returns: how the attempt ends, None if it may begin.
+    :param destination: destination of the attempt.
+    :returns: outcome of the attempt, None if it may start.
     """
     name = destination.endpoint.name
-    held = state.gate.why_held(name)
-    if held is None:
+    reason = state.gate.why_held(name)
+    if reason is None:
         return None
     log_event(
         'held',
         'An endpoint takes no call now.',
         call=call.call_id,
         endpoint=name,
-        reason=held,
+        reason=reason,
     )
-    return AttemptOutcome(end=AttemptEnd.held, reason=held)
+    return AttemptOutcome(end=AttemptEnd.held, reason=reason)
 
 
 def pool_is_held(state: GatewayState, pool: str) -> bool:
-    """Tell whether no endpoint of a pool takes a request now.
+    """Check if all usable endpoints of a pool are withheld.
 
-    :param state: what the gateway knows.
+    :param state: state of the gateway.
     :param pool: name of the pool.
-    :returns: whether each holds calls off.
+    :returns: whether there are usable endpoints and each is withheld.
     """
     usable = state.knowledge.table.usable(pool)
     return bool(usable) and all(
@@ -96,20 +98,20 @@
     )
 
 
-def _list_holding(state: GatewayState, pool: str) -> list[str]:
+def _list_withheld(state: GatewayState, pool: str) -> list[str]:
     return [
         each.name
         for each in state.knowledge.table.usable(pool)
         if state.gate.is_held(each.name, spared=True)
-        # One that is leaving takes no more at any time.
+        # A leaving endpoint takes no more requests.
         and state.gate.why_held(each.name) is not Held.leaving
     ]
 
 
-def _describe_opening(state: GatewayState, holding: list[str]) -> Opening:
+def _describe_slots(state: GatewayState, withheld: list[str]) -> Opening:
     gate = state.gate
-    rate = sum(gate.rate_of_all(name) for name in holding)
-    every_ms = MS_PER_S * len(gate.gateways) / rate
-    # What is open now is kept for a more urgent call.
-    first_ms = min(gate.opens_in_ms(name) for name in holding) or every_ms
-    return Opening(first_ms=first_ms, every_ms=every_ms)
+    rate = sum(gate.rate_of_all(name) for name in withheld)
+    interval_ms = MS_PER_S * len(gate.gateways) / rate
+    # Capacity that is free now is reserved for a more urgent call.
+    first_ms = min(gate.opens_in_ms(name) for name in withheld) or interval_ms
+    return Opening(first_ms=first_ms, every_ms=interval_ms)
--- a/wingfall/gateway/calls/shared_read_wait.py
+++ b/wingfall/gateway/calls/shared_read_wait.py
@@ -1,8 +1,7 @@
-"""Holds a prompt back while its engine reads a part that it shares.
+"""Delay of a prompt while its engine prefills a prompt part that it shares.
 
-How long is decided by
-:mod:`wingfall.gateway.rules.placement.shared_read`; here is only the wait,
-which ends as soon as the part has been read.
+:mod:`wingfall.gateway.rules.placement.shared_read` decides on the longest
+delay; the wait ends as soon as the prefill of the part has ended.
 """
 
 from __future__ import annotations
@@ -19,20 +18,19 @@
     from wingfall.gateway.model.call import Call
     from wingfall.gateway.state import GatewayState
 
-# Milliseconds between two looks. Short beside a read of a thousand tokens, some
-# 40 ms.
-_POLL_MS: Final = 5
+# Short compared with the prefill of a thousand tokens, which takes some 40 ms.
+_POLL_INTERVAL_MS: Final = 5
 
 
 def await_shared_read(
     state: GatewayState, call: Call, destination: Destination
 ) -> bool:
-    """Wait until the chosen engine has read a part for another prompt.
+    """Wait until an engine has prefilled a shared part for another prompt.
 
-    :param state: what the gateway knows.
-    :param call: the request.
-    :param destination: where it is to go.
-    :returns: whether it waited, so that the destination is old.
+    :param state: state of the gateway.
+    :param call: the call.
+    :param destination: the destination of the call.
+    :returns: whether the call waited, so that the destination is outdated.
     """
     prompt = call.head.prompt
     if prompt is None:
@@ -45,7 +43,7 @@
         return False
     until_ms = began_ms + wait_ms
     while state.clock.now_ms() < until_ms:
-        gevent.sleep(_POLL_MS / MS_PER_S)
+        gevent.sleep(_POLL_INTERVAL_MS / MS_PER_S)
         if not cache.pending_read(prompt.shared, began_ms).tokens:
             break
     log_event(
