--- a/tests/test_gateway_requests.py
+++ b/tests/test_gateway_requests.py
@@ -1,4 +1,4 @@
-"""Plain requests through a gateway: what callers and endpoints see."""
+"""Tests of plain requests through a gateway."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from tests.gateway_site import KEY, GatewaySite, known_endpoints
 from tests.local_site import wait_until
 
-# What an endpoint may do so that the answer is of no use.
-BROKEN = (
+# Faults of an endpoint that make its answer unusable.
+UNUSABLE_ANSWERS = (
     'reset',
     'torn',
     'unframed_reset',
@@ -21,15 +21,15 @@
 
 @pytest.fixture
 def plain_site(gateway_site: GatewaySite) -> GatewaySite:
-    """Give a site of one gateway and two plain endpoints."""
+    """Create a site with one gateway and two plain endpoints."""
     gateway_site.add_server('one')
     gateway_site.add_server('two')
     gateway_site.add_gateway()
     return gateway_site
 
 
-def runs(site: GatewaySite) -> list[str]:
-    """List the ids of all runs at all endpoints."""
+def all_run_ids(site: GatewaySite) -> list[str]:
+    """Return the ids of all runs at all endpoints."""
     return [
         call_id
         for server in site.servers.values()
@@ -37,10 +37,10 @@
     ]
 
 
-def break_all(site: GatewaySite, fault: str, times: int = 1) -> None:
-    """Make each endpoint break its next answers."""
+def set_faults(site: GatewaySite, fault: str, times: int = 1) -> None:
+    """Apply a fault to the next answers of each endpoint."""
     for server in site.servers.values():
-        server.faults = [fault for _time in range(times)]
+        server.faults = [fault for _answer in range(times)]
 
 
 def test_answer_is_the_endpoints(plain_site: GatewaySite):
@@ -87,7 +87,9 @@
     assert run.body == b'abcde'
 
 
-@pytest.mark.parametrize('fault', [*BROKEN, 'error', 'shed', 'foreign'])
+@pytest.mark.parametrize(
+    'fault', [*UNUSABLE_ANSWERS, 'error', 'shed', 'foreign']
+)
 def test_repeatable_request_is_sent_again(plain_site: GatewaySite, fault: str):
     plain_site.servers['one'].faults = [fault]
     answers = [
@@ -101,45 +103,45 @@
 
 
 @pytest.mark.parametrize('path', ['/unsafe/x', '/patient/x'])
-@pytest.mark.parametrize('fault', BROKEN)
+@pytest.mark.parametrize('fault', UNUSABLE_ANSWERS)
 def test_unrepeatable_request_runs_once(
     plain_site: GatewaySite,
     fault: str,
     path: str,
 ):
-    break_all(plain_site, fault)
+    set_faults(plain_site, fault)
     answer = plain_site.ask(path, method='POST', X_Attempt_Id='r1')
     assert answer.status == 502
     assert answer.whole
     assert 'x-response-seal' not in answer.headers
-    assert runs(plain_site) == ['r1']
+    assert all_run_ids(plain_site) == ['r1']
 
 
 def test_unrepeatable_failure_of_the_endpoint_is_passed_on(
     plain_site: GatewaySite,
 ):
-    break_all(plain_site, 'error')
+    set_faults(plain_site, 'error')
     answer = plain_site.ask('/unsafe/x', method='POST', X_Attempt_Id='r1')
     assert answer.status == 500
     assert answer.headers['x-response-seal'].startswith('seal.')
-    assert runs(plain_site) == ['r1']
+    assert all_run_ids(plain_site) == ['r1']
 
 
 def test_refusal_tells_when_to_come_back(plain_site: GatewaySite):
-    break_all(plain_site, 'shed', times=2)
+    set_faults(plain_site, 'shed', times=2)
     answer = plain_site.ask('/unsafe/x', method='POST', X_Deadline_Ms='900')
     assert answer.status == 503
     assert 0 < float(answer.headers['retry-after']) < 1 / 3
-    assert not runs(plain_site)
+    assert not all_run_ids(plain_site)
 
 
 def test_no_more_endpoints_than_the_route_allows(plain_site: GatewaySite):
     plain_site.add_server('three')
     wait_until(lambda: len(plain_site.gateways[0].status()['endpoints']) == 3)
-    break_all(plain_site, 'error', times=3)
+    set_faults(plain_site, 'error', times=3)
     answer = plain_site.ask('/safe/x')
     assert answer.status == 500
-    assert len(runs(plain_site)) == 2
+    assert len(all_run_ids(plain_site)) == 2
 
 
 def test_endpoint_that_takes_no_connection_costs_no_attempt(
@@ -162,16 +164,16 @@
 
 
 def test_bytes_after_an_answer_belong_to_no_request(plain_site: GatewaySite):
-    break_all(plain_site, 'extra', times=2)
+    set_faults(plain_site, 'extra', times=2)
     for number in range(6):
         answer = plain_site.ask('/safe/x', X_Attempt_Id=f'r{number}')
         assert f' r{number} '.encode() in answer.body
-    # None was sent into what the endpoint had sent too much of.
-    assert len(runs(plain_site)) == 6
+    # No request was sent over a connection with unexpected bytes.
+    assert len(all_run_ids(plain_site)) == 6
 
 
 def test_unframed_answer_ends_with_its_connection(plain_site: GatewaySite):
-    break_all(plain_site, 'unframed')
+    set_faults(plain_site, 'unframed')
     answer = plain_site.ask('/safe/x', X_Attempt_Id='r1')
     assert answer.status == 200
     assert b' r1 ' in answer.body
@@ -179,10 +181,10 @@
 
 
 def test_time_over_is_answered_at_once(plain_site: GatewaySite):
-    break_all(plain_site, 'hang')
+    set_faults(plain_site, 'hang')
     answer = plain_site.ask('/unsafe/x', method='POST', X_Deadline_Ms='300')
     assert answer.status == 504
-    assert len(runs(plain_site)) == 1
+    assert len(all_run_ids(plain_site)) == 1
 
 
 def test_caller_that_leaves_ends_the_work(plain_site: GatewaySite):
@@ -190,7 +192,7 @@
         server.delay_ms = 60_000
     caller = plain_site.caller()
     caller.send('/patient/x', method='POST')
-    wait_until(lambda: runs(plain_site))
+    wait_until(lambda: all_run_ids(plain_site))
     caller.close()
     wait_until(
         lambda: any(
@@ -219,13 +221,13 @@
     authorization = f'Token {key}' if key else ''
     answer = plain_site.ask(target, Authorization=authorization)
     assert answer.status == status
-    assert not runs(plain_site)
+    assert not all_run_ids(plain_site)
 
 
 def test_body_over_the_limit_is_refused(plain_site: GatewaySite):
     answer = plain_site.ask('/unsafe/x', method='POST', body=bytes(200_000))
     assert answer.status == 413
-    assert not runs(plain_site)
+    assert not all_run_ids(plain_site)
 
 
 def test_head_over_the_limit_is_refused(plain_site: GatewaySite):
@@ -262,10 +264,10 @@
     gateway_site.add_server('one')
     gateway_site.add_server('two')
     gateway_site.add_gateway(resend={'ratio': 0, 'slack': 2.5, 'window_s': 60})
-    break_all(gateway_site, 'error', times=100)
+    set_faults(gateway_site, 'error', times=100)
     for number in range(6):
         gateway_site.ask('/safe/x', X_Attempt_Id=f'r{number}')
-    assert len(runs(gateway_site)) == 6 + 2
+    assert len(all_run_ids(gateway_site)) == 6 + 2
 
 
 def test_budget_is_shared_with_gateways_out_of_reach(
@@ -280,10 +282,10 @@
             'seeds': ['127.0.0.1:1', '127.0.0.1:2'],
         },
     )
-    break_all(gateway_site, 'error', times=100)
+    set_faults(gateway_site, 'error', times=100)
     for number in range(6):
         gateway_site.ask('/safe/x', X_Attempt_Id=f'r{number}')
-    assert len(runs(gateway_site)) == 6 + 2
+    assert len(all_run_ids(gateway_site)) == 6 + 2
 
 
 def test_draining_endpoint_gets_no_new_request(plain_site: GatewaySite):
@@ -298,13 +300,13 @@
 def test_planned_stop_finishes_what_runs(plain_site: GatewaySite):
     for server in plain_site.servers.values():
         server.delay_ms = 400
-    kept, fresh = plain_site.caller(), plain_site.caller()
-    kept.send('/safe/x', X_Attempt_Id='r1')
-    wait_until(lambda: runs(plain_site))
+    reused, fresh = plain_site.caller(), plain_site.caller()
+    reused.send('/safe/x', X_Attempt_Id='r1')
+    wait_until(lambda: all_run_ids(plain_site))
     gateway = plain_site.gateways[0]
     stopping = gevent.spawn(gateway.drain)
     wait_until(gateway.not_ready)
-    first = kept.receive()
+    first = reused.receive()
     assert first.status == 200
     assert first.headers['connection'] == 'close'
     fresh.send('/safe/x', X_Attempt_Id='r2')
@@ -318,7 +320,7 @@
         server.delay_ms = 3500
     caller = plain_site.caller()
     caller.send('/patient/x', method='POST')
-    wait_until(lambda: runs(plain_site))
+    wait_until(lambda: all_run_ids(plain_site))
     gateway = plain_site.gateways[0]
     gateway.drain()
     gateway.close()
@@ -342,7 +344,8 @@
 
 
 def test_only_success_speaks_for_a_request(gateway_site: GatewaySite):
-    # A failing endpoint answers 500 without having run what crashes others.
+    # A failing endpoint answers 500 without running a request that crashes
+    # other endpoints.
     server = gateway_site.add_server('one')
     gateway = gateway_site.add_gateway()
     server.faults = ['error', 'error']
--- a/wingfall/gateway/calls/dispatcher.py
+++ b/wingfall/gateway/calls/dispatcher.py
@@ -1,8 +1,8 @@
-"""Serves a call: attempts at endpoints until one has answered it.
+"""Service of a call: sends attempts until an endpoint has answered.
 
-Only the order of the steps stands here. Each decision is a rule of
-:mod:`wingfall.gateway.rules`; what is known of endpoints is collected by
-:mod:`wingfall.gateway.calls.destination`.
+Defines only the order of the steps. Each decision is a rule of
+:mod:`wingfall.gateway.rules`; :mod:`wingfall.gateway.calls.destination`
+collects the inputs.
 """
 
 from __future__ import annotations
@@ -54,12 +54,12 @@
     from wingfall.gateway.state import GatewayState
 
 
-# How a call ends for which there is no endpoint left.
-_NOWHERE: Final = AttemptEnd.not_sent
+# End of a call if there is no endpoint left.
+_NO_ENDPOINT: Final = AttemptEnd.not_sent
 
 
 class ReplyCutError(Exception):
-    """A stream that can't be continued; its connection must be cut."""
+    """A stream can't be continued; the caller's connection must be closed."""
 
 
 @final
@@ -69,12 +69,12 @@
     __slots__ = (
         '_call',
         '_continuation',
-        '_kept_answer',
+        '_failed_answer',
         '_pool',
         '_progress',
         '_reply',
         '_state',
-        '_waited',
+        '_has_waited',
     )
 
     def __init__(
@@ -84,61 +84,61 @@
         call: Call,
         reply: Reply,
     ) -> None:
-        """Start the service.
+        """Initialize the service of a call.
 
-        :param state: what the gateway knows.
+        :param state: state of the gateway.
         :param call: the call.
-        :param reply: its answer.
+        :param reply: the reply to the caller.
         """
         self._state = state
         self._call = call
         self._reply = reply
         self._pool = pick_pool(call.route.pools)
         self._progress = CallProgress()
-        # Whether the call has waited for a shared part.
-        self._waited = False
-        # The last whole answer that tells of a failed run.
-        self._kept_answer: WholeAnswer | None = None
-        # Where a stream that was cut goes on as the same run.
+        # Whether the call has waited for the prefill of a shared part.
+        self._has_waited = False
+        # The last whole answer that reports a failed run.
+        self._failed_answer: WholeAnswer | None = None
+        # Where an interrupted stream continues as the same run.
         self._continuation: Destination | None = None
 
     def serve(self) -> Refusal | None:
         """Serve the call to its final answer.
 
-        :returns: why there is no endpoint's answer, None if there is one.
-        :raises ReplyCutError: if a stream that has begun can't go on.
+        :returns: the refusal, None if an endpoint's answer was sent.
+        :raises ReplyCutError: if a stream that has begun can't be continued.
         """
         self._state.budget.note_request(self._pool)
         while not is_time_over(self._left_ms()):
-            placed = self._place()
-            if not isinstance(placed, Success):
-                return placed.failure()
-            destination = placed.unwrap()
-            outcome = self._try(destination)
+            found = self._find_destination()
+            if not isinstance(found, Success):
+                return found.failure()
+            destination = found.unwrap()
+            outcome = self._run_attempt(destination)
             if outcome.end is AttemptEnd.answered:
-                self._finish(outcome)
+                self._send_answer(outcome)
                 return None
-            self._note_failed(destination, outcome)
+            self._record_failure(destination, outcome)
             self._continuation = find_continuation(
                 self._state, self._call, self._reply, destination, outcome
             )
             if not self._may_try_again(outcome.end):
-                return self._give_up(outcome.end)
-        return self._give_up(AttemptEnd.late)
+                return self._end_failed_call(outcome.end)
+        return self._end_failed_call(AttemptEnd.late)
 
-    def _place(self) -> Result[Destination, Refusal | None]:
+    def _find_destination(self) -> Result[Destination, Refusal | None]:
         refusal = self._refuse_blocked()
         if refusal is not None:
             return Failure(refusal)
         destination = self._choose()
         if destination is None:
-            return Failure(self._hold_off() or self._give_up(_NOWHERE))
+            return Failure(self._defer() or self._end_failed_call(_NO_ENDPOINT))
         admitted = self._admit(destination)
         if not isinstance(admitted, Success):
             return admitted
         destination = admitted.unwrap()
-        destination = self._after_shared_read(destination)
-        # While it waited, others may have seen what it does to endpoints.
+        destination = self._await_shared_prefill(destination)
+        # Peers may meanwhile have found that the request crashes endpoints.
         refusal = self._refuse_blocked()
         return Success(destination) if refusal is None else Failure(refusal)
 
@@ -150,11 +150,11 @@
         avoided = unreached.union(sent)
         destination = choose_destination(state, call, self._pool, avoided)
         if destination is None and sent and call.idempotent:
-            # All others were tried; the same endpoint may do better now.
+            # All endpoints were tried; a retry at the same one may succeed.
             return choose_destination(state, call, self._pool, unreached)
         return destination
 
-    def _hold_off(self) -> Refusal | None:
+    def _defer(self) -> Refusal | None:
         if self._reply.started or self._run_state is not RunState.not_run:
             return None
         return hold_off(self._state, self._call, self._pool)
@@ -172,18 +172,20 @@
             return Success(destination)
         return admit_prompt(self._state, self._call, self._pool, destination)
 
-    def _after_shared_read(self, destination: Destination) -> Destination:
-        # One wait a call; what was chosen before it is old after it.
-        if self._waited or destination.continues:
+    def _await_shared_prefill(self, destination: Destination) -> Destination:
+        # A call waits once; the earlier choice is outdated after the wait.
+        if self._has_waited or destination.continues:
             return destination
-        self._waited = await_shared_read(self._state, self._call, destination)
-        return (self._waited and self._choose()) or destination
+        self._has_waited = await_shared_read(
+            self._state, self._call, destination
+        )
+        return (self._has_waited and self._choose()) or destination
 
-    def _try(self, destination: Destination) -> AttemptOutcome:
+    def _run_attempt(self, destination: Destination) -> AttemptOutcome:
         state = self._state
-        held = hold_attempt(state, self._call, destination)
-        if held is not None:
-            return held
+        deferred = hold_attempt(state, self._call, destination)
+        if deferred is not None:
+            return deferred
         state.blocks.note_sent(self._call.fingerprint)
         tracker = AttemptTracker(
             state=state,
@@ -226,16 +228,16 @@
             first_byte_ms=now_ms + first_byte_wait_ms(outlook),
         )
 
-    def _finish(self, outcome: AttemptOutcome) -> None:
+    def _send_answer(self, outcome: AttemptOutcome) -> None:
         if outcome.answer is None:
             self._reply.finish_stream()
         else:
-            self._pass_on(outcome.answer)
+            self._send_whole(outcome.answer)
 
-    def _pass_on(self, answer: WholeAnswer) -> None:
+    def _send_whole(self, answer: WholeAnswer) -> None:
         self._reply.send_whole(answer.status, answer.headers, answer.body)
 
-    def _note_failed(
+    def _record_failure(
         self,
         destination: Destination,
         outcome: AttemptOutcome,
@@ -249,7 +251,7 @@
             return
         self._state.knowledge.note_failure(name)
         if outcome.end is AttemptEnd.failed:
-            self._kept_answer = outcome.answer
+            self._failed_answer = outcome.answer
 
     def _may_try_again(self, end: AttemptEnd) -> bool:
         if self._continuation is not None:
@@ -265,16 +267,16 @@
             return self._state.budget.take(self._pool)
         return verdict is RetryVerdict.free
 
-    def _give_up(self, end: AttemptEnd) -> Refusal | None:
+    def _end_failed_call(self, end: AttemptEnd) -> Refusal | None:
         if self._reply.started:
             raise ReplyCutError
-        if self._kept_answer is not None:
-            self._pass_on(self._kept_answer)
+        if self._failed_answer is not None:
+            self._send_whole(self._failed_answer)
             return None
         if end is AttemptEnd.not_run and pool_is_held(self._state, self._pool):
-            held = self._hold_off()
-            if held is not None:
-                return held
+            deferred = self._defer()
+            if deferred is not None:
+                return deferred
         return refuse_after(end, self._run_state, self._left_ms())
 
     @property
