--- a/tests/test_hot_customer.py
+++ b/tests/test_hot_customer.py
@@ -1,4 +1,4 @@
-"""One customer at many times its usual before gateway processes."""
+"""Test of one customer at many times its normal load at gateway processes."""
 
 from __future__ import annotations
 
@@ -17,29 +17,29 @@
 
     from standins.pool_server import PoolServerStandIn
 
-USUAL = ('aker', 'bryn')
-HOT = 'hot'
-# Prompts a second of each customer, and when they ask: the hot one begins once
-# the gateways have heard of the others' work for a while.
-USUAL_PER_S = 3
-HOT_PER_S = 36
-SECONDS = 8
-HOT_FROM_S = 2.5
-# Two engines that read one prompt after the other: 16 a second in all.
-ENGINES = 2
-READ_MS = 125
+NORMAL_CUSTOMERS = ('aker', 'bryn')
+HOT_CUSTOMER = 'hot'
+# Prompts a second of each customer. The hot customer starts later, when the
+# gateways have received reports of the other customers' work for a while.
+NORMAL_REQUESTS_PER_S = 3
+HOT_REQUESTS_PER_S = 36
+DURATION_S = 8
+HOT_START_S = 2.5
+# Two engines that prefill one prompt after the other: 16 a second in all.
+ENGINE_COUNT = 2
+PREFILL_MS = 125
 TARGET_MS = 800
 PROMPT = {'X_Token_Count': '3125,5', 'X_Prompt_Prefix': ''}
 
 
-def read_in_turn(engine: PoolServerStandIn) -> None:
-    """Have an engine read one prompt after the other."""
-    free_s = [float()]
+def serialize_prefills(engine: PoolServerStandIn) -> None:
+    """Make an engine prefill one prompt after the other."""
+    idle_from_s = [float()]
 
     def draw_delay_ms() -> int:
         now_s = time.monotonic()
-        free_s[0] = max(now_s, free_s[0]) + READ_MS / 1000
-        return int((free_s[0] - now_s) * 1000)
+        idle_from_s[0] = max(now_s, idle_from_s[0]) + PREFILL_MS / 1000
+        return int((idle_from_s[0] - now_s) * 1000)
 
     engine.draw_delay_ms = draw_delay_ms
     engine.events = 1
@@ -47,7 +47,7 @@
 
 
 def configuration() -> dict[str, Any]:
-    """Describe one pool of engines and three customers."""
+    """Return a configuration with one pool of engines and three customers."""
     stream = route(
         'stream',
         'engines',
@@ -55,7 +55,7 @@
         target_latency_ms=TARGET_MS,
         timeout_ms=6000,
     )
-    # Another route of the pool, so that the first isn't the most urgent.
+    # A second route of the pool, so that the first isn't the most urgent.
     urgent = route('urgent', 'engines', kind='stream', priority=0)
     engines = {
         'name': 'engines',
@@ -69,92 +69,98 @@
         'limits': {},
         'tenants': [
             {'name': name, 'api_keys': [f'key-of-{name}']}
-            for name in (*USUAL, HOT)
+            for name in (*NORMAL_CUSTOMERS, HOT_CUSTOMER)
         ],
     }
 
 
-class Crowd:
-    """Customers that ask without waiting for answers."""
+class LoadGenerator:
+    """Customers that send requests without waiting for answers."""
 
     def __init__(self, *, site: SoakSite) -> None:
-        """Start with nothing asked.
+        """Initialize the load generator.
 
-        :param site: the gateways.
+        :param site: the site with the gateways.
         """
         self._ports = itertools.cycle(
             [each.port for each in site.gateways.values()]
         )
-        self._numbers = itertools.count()
-        # Whether each prompt was answered in target, by customer.
+        self._call_numbers = itertools.count()
+        # Whether each prompt was answered within its target, by customer.
         self.in_target: dict[str, list[bool]] = {
-            name: [] for name in (*USUAL, HOT)
+            name: [] for name in (*NORMAL_CUSTOMERS, HOT_CUSTOMER)
         }
 
-    def ask_all(self) -> None:
-        """Have all customers ask, the hot one from its time on."""
-        asking = [
-            gevent.spawn(self.ask_on, customer, USUAL_PER_S, SECONDS)
-            for customer in USUAL
+    def send_all(self) -> None:
+        """Send the prompts of all customers; the hot customer starts later."""
+        sending = [
+            gevent.spawn(
+                self.send_for, customer, NORMAL_REQUESTS_PER_S, DURATION_S
+            )
+            for customer in NORMAL_CUSTOMERS
         ]
-        gevent.sleep(HOT_FROM_S)
-        self.ask_on(HOT, HOT_PER_S, SECONDS - HOT_FROM_S)
-        gevent.joinall(asking)
+        gevent.sleep(HOT_START_S)
+        self.send_for(
+            HOT_CUSTOMER, HOT_REQUESTS_PER_S, DURATION_S - HOT_START_S
+        )
+        gevent.joinall(sending)
 
-    def ask_on(self, customer: str, per_s: float, seconds: float) -> None:
-        """Ask for some seconds."""
-        asking = []
+    def send_for(
+        self, customer: str, requests_per_s: float, seconds: float
+    ) -> None:
+        """Send prompts of a customer for a number of seconds."""
+        sending = []
         until_s = time.monotonic() + seconds
         while time.monotonic() < until_s:
-            asking.append(gevent.spawn(self._ask, customer))
-            gevent.sleep(1 / per_s)
-        gevent.joinall(asking)
+            sending.append(gevent.spawn(self._send, customer))
+            gevent.sleep(1 / requests_per_s)
+        gevent.joinall(sending)
 
-    def share(self, *customers: str) -> float:
-        """Tell how many in 100 of customers' prompts were in target."""
-        ends = [each for name in customers for each in self.in_target[name]]
-        return 100 * sum(ends) / len(ends)
+    def percent_in_target(self, *customers: str) -> float:
+        """Return the percentage of prompts answered within their target."""
+        answers = [each for name in customers for each in self.in_target[name]]
+        return 100 * sum(answers) / len(answers)
 
-    def _ask(self, customer: str) -> None:
-        asked_s = time.monotonic()
+    def _send(self, customer: str) -> None:
+        sent_s = time.monotonic()
         caller = CallerStandIn(port=next(self._ports))
         caller.send(
             '/stream/x',
             method='POST',
             Authorization=f'Token key-of-{customer}',
-            X_Attempt_Id=f'call-{next(self._numbers)}',
+            X_Attempt_Id=f'call-{next(self._call_numbers)}',
             **PROMPT,
         )
         answer = caller.receive()
         caller.close()
-        took_ms = (time.monotonic() - asked_s) * 1000
+        elapsed_ms = (time.monotonic() - sent_s) * 1000
         served = answer.status == 200 and answer.whole
-        self.in_target[customer].append(served and took_ms <= TARGET_MS)
+        self.in_target[customer].append(served and elapsed_ms <= TARGET_MS)
 
 
-def play(folder: pathlib.Path, admission: str) -> Crowd:
-    """Play the crowd before three gateways."""
+def run_load(folder: pathlib.Path, admission: str) -> LoadGenerator:
+    """Run the load against three gateways."""
     site = SoakSite(
         folder=folder,
         gateways=3,
-        servers=ENGINES,
+        servers=ENGINE_COUNT,
         changes={'policy': {'admission': admission}},
     )
     try:
         site.store.put('config', 'main', configuration())
         for server in site.listed('engines'):
-            read_in_turn(server.standin)
+            serialize_prefills(server.standin)
         gevent.sleep(2)
-        crowd = Crowd(site=site)
-        crowd.ask_all()
+        load = LoadGenerator(site=site)
+        load.send_all()
     finally:
         site.close()
-    return crowd
+    return load
 
 
 @pytest.mark.processes
 def test_hot_customer_takes_nothing_from_others(tmp_path: pathlib.Path):
-    crowd = play(tmp_path, 'fair')
-    assert crowd.share(*USUAL) > 90
-    # What the others leave is its own.
-    assert crowd.share(HOT) > 10
+    load = run_load(tmp_path, 'fair')
+    assert load.percent_in_target(*NORMAL_CUSTOMERS) > 90
+    # The hot customer gets the remaining capacity.
+    assert load.percent_in_target(HOT_CUSTOMER) > 10
--- a/wingfall/gateway/calls/intake.py
+++ b/wingfall/gateway/calls/intake.py
@@ -1,7 +1,7 @@
-"""Takes a request in: its route, its customer and its deadline.
+"""Acceptance of a request: finds its route, customer and deadline.
 
-Relies on the configuration in force alone; nothing is sent yet, so each refusal
-here is true of a request that has not run.
+Relies only on the configuration in force. Nothing is sent yet, so a refusal
+always means that the request has not run.
 """
 
 from __future__ import annotations
@@ -29,12 +29,11 @@
         Routes,
     )
 
-# Milliseconds that a caller is taken to wait if it doesn't tell, and no route
-# does.
+# Timeout of a call if neither the caller nor a route states one.
 DEFAULT_TIMEOUT_MS: Final = 30_000
-# Milliseconds by which a final answer leaves before its caller stops waiting.
-# The way to the caller within a region.
-_ANSWER_MS: Final = 10
+# A final answer is sent this long before the caller's timeout, which allows for
+# the network delay within a region.
+_NETWORK_DELAY_MS: Final = 10
 
 
 def accept_call(
@@ -43,13 +42,13 @@
     body: RequestBody,
     arrived_ms: int,
 ) -> Result[Call, Refusal]:
-    """Accept a request, or tell why not.
+    """Accept or refuse a request.
 
     :param routes: the configuration in force, None if there is none yet.
     :param head: head of the request.
-    :param body: its whole body.
-    :param arrived_ms: when its head was read.
-    :returns: the accepted call, or the refusal that answers it.
+    :param body: the whole body of the request.
+    :param arrived_ms: time in milliseconds at which the head was received.
+    :returns: the accepted call, or the refusal to answer with.
     """
     if routes is None:
         left_ms = head.time_left_ms or DEFAULT_TIMEOUT_MS
@@ -63,7 +62,7 @@
         )
         return Failure(refusal)
     customer = _find_customer(routes, route, head)
-    if customer is None and _needs_key(routes, route):
+    if customer is None and _requires_key(routes, route):
         refusal = refuse_request(
             http.HTTPStatus.UNAUTHORIZED,
             'unknown_key',
@@ -85,7 +84,7 @@
                 customer.name if customer else '',
                 body.digest,
             ),
-            deadline_ms=arrived_ms + left_ms - _ANSWER_MS,
+            deadline_ms=arrived_ms + left_ms - _NETWORK_DELAY_MS,
             priority=engine_priority(
                 route.tier,
                 customer.tier if customer else None,
@@ -95,7 +94,7 @@
     )
 
 
-def _needs_key(routes: Routes, route: Route) -> bool:
+def _requires_key(routes: Routes, route: Route) -> bool:
     return bool(routes.customers) and not route.public
 
 
@@ -104,6 +103,6 @@
     route: Route,
     head: CallHead,
 ) -> GatewayCustomer | None:
-    if not _needs_key(routes, route) or head.api_key is None:
+    if not _requires_key(routes, route) or head.api_key is None:
         return None
     return routes.find_customer(head.api_key)
