--- a/tests/test_caller_connection.py
+++ b/tests/test_caller_connection.py
@@ -1,4 +1,4 @@
-"""When a caller's connection is idle, and when it is not."""
+"""Callers' connections: closing of idle ones, errors and slow callers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def sockets() -> Iterator[tuple[socket.socket, socket.socket]]:
-    """Give both ends of a connection: the caller's and the gateway's."""
+    """Return both ends of a connection: the caller's and the gateway's."""
     with socket.create_server(('127.0.0.1', 0)) as listener:
         caller = socket.create_connection(listener.getsockname())
         accepted, _address = listener.accept()
@@ -39,14 +39,14 @@
     clock: ManualClock,
     gateway_site: GatewaySite,
 ) -> CallerConnection:
-    """Give a connection of a gateway without a configuration."""
+    """Return a connection of a gateway without a configuration."""
     settings = gateway_site.parse(gateway_site.settings())
     state = make_state(settings, clock, Metrics())
     return CallerConnection(sock=sockets[1], state=state)
 
 
-def _fail(demand: object, candidates: object) -> None:
-    raise ZeroDivisionError('a fault of the placement')
+def _raise_placement_error(demand: object, candidates: object) -> None:
+    raise ZeroDivisionError('error in the placement policy')
 
 
 def test_fault_of_the_program_still_gets_a_final_answer(
@@ -54,7 +54,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ):
     gateway_site.add_server('s1')
-    monkeypatch.setitem(placements._entries, 'least_read', _fail)
+    monkeypatch.setitem(
+        placements._entries, 'least_read', _raise_placement_error
+    )
     gateway_site.add_gateway()
     caller = gateway_site.caller()
     caller.send('/safe/x')
@@ -80,12 +82,12 @@
     clock: ManualClock,
 ):
     clock.advance(IDLE_MS)
-    served = gevent.spawn(connection.run)
+    serving = gevent.spawn(connection.run)
     gevent.sleep(0)
     connection.close_idle()
-    # Far below the idle bound, after which it would end anyway.
-    served.join(timeout=10)
-    assert served.dead
+    # Far below the idle timeout, which would end the connection as well.
+    serving.join(timeout=10)
+    assert serving.dead
 
 
 def test_request_that_waits_unread_is_answered(
@@ -115,9 +117,9 @@
     connection: CallerConnection,
     monkeypatch: pytest.MonkeyPatch,
 ):
-    """The bound of a write is for a piece of the answer, not for all of it."""
+    """The write timeout applies to each piece of a response, not the whole."""
     monkeypatch.setattr(
-        'wingfall.gateway.callers.caller_connection._WRITE_MS', 400
+        'wingfall.gateway.callers.caller_connection._WRITE_TIMEOUT_MS', 400
     )
     caller, accepted = sockets
     caller.settimeout(5)
@@ -126,7 +128,7 @@
     for _event in range(2):
         connection._http.next_event()
     body = bytes(8_000_000)
-    written = gevent.spawn(
+    writing = gevent.spawn(
         connection._write,
         h11.Response(
             status_code=200,
@@ -137,9 +139,9 @@
     )
     received = 0
     while received < len(body):
-        # Some 1.5 s for all of it, whatever the network's buffers hold.
+        # About 1.5 s in total, whatever the network buffers hold.
         gevent.sleep(0.02)
         piece = caller.recv(100_000)
         assert piece
         received += len(piece)
-    written.get(timeout=5)
+    writing.get(timeout=5)
--- a/wingfall/gateway/callers/__init__.py
+++ b/wingfall/gateway/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' side: their connections, early listening, readiness."""
+"""Caller side: HTTP connections, early listening and readiness."""
--- a/wingfall/gateway/callers/caller_connection.py
+++ b/wingfall/gateway/callers/caller_connection.py
@@ -1,8 +1,8 @@
-"""One HTTP connection of a caller, request after request.
+"""One HTTP connection of a caller, which serves its requests in sequence.
 
-Owns the socket and its state of HTTP. A second greenlet watches the socket
-while a call is served and ends the call when the caller leaves. Relies on
-:mod:`wingfall.gateway.calls` for the answers.
+Owns the socket and the HTTP protocol state. While a call is served, a second
+greenlet watches the socket and ends the call when the caller disconnects.
+:mod:`wingfall.gateway.calls` produces the responses.
 """
 
 from __future__ import annotations
@@ -46,26 +46,27 @@
     from wingfall.gateway.model.request_body import RequestBody
     from wingfall.gateway.state import GatewayState
 
-# Milliseconds: a caller that takes nothing for so long has left. The time is
-# for each piece of an answer, since slow callers of whole answers were cut.
-_WRITE_MS: Final = 5000
-# Milliseconds in which a new connection may send its first request although the
-# gateway is stopping.
-_YOUNG_MS: Final = 500
+# A caller that accepts no bytes for this time counts as disconnected. The
+# timeout applies to each piece of a response: a timeout for the whole response
+# cut off slow callers.
+_WRITE_TIMEOUT_MS: Final = 5000
+# Time in which a new connection may send its first request although the gateway
+# is stopping.
+_FIRST_REQUEST_GRACE_MS: Final = 500
 
 
 class CallerGoneError(Exception):
-    """The caller has closed its connection."""
+    """The caller has closed the connection or accepts no more bytes."""
 
 
 @final
 class CallerConnection:
-    """Reads requests, has them served, and notices when the caller leaves."""
+    """Reads requests, dispatches them and detects a caller's disconnect."""
 
     __slots__ = (
         '_closing',
         '_http',
-        '_last_ms',
+        '_idle_since_ms',
         '_reader',
         '_socket',
         '_state',
@@ -73,10 +74,10 @@
     )
 
     def __init__(self, *, sock: socket.socket, state: GatewayState) -> None:
-        """Take over an accepted connection.
+        """Create the handler of an accepted connection.
 
-        :param sock: its socket.
-        :param state: what the gateway knows.
+        :param sock: socket of the connection.
+        :param state: state that all connections of the gateway share.
         """
         set_no_delay(sock)
         self._socket = sock
@@ -93,19 +94,19 @@
             write=self._write,
         )
         self._closing = False
-        # When it was opened or its last request ended.
-        self._last_ms = state.clock.now_ms()
+        # When the connection was opened or its last request ended.
+        self._idle_since_ms = state.clock.now_ms()
         self.busy = False
 
     def run(self) -> None:
-        """Serve requests until either side closes."""
+        """Serve requests until either side closes the connection."""
         try:
             while self._serve_next():
                 self._reader.start_next()
         except (CallerGoneError, ReplyCutError):
             self._closing = True
         except h11.RemoteProtocolError as error:
-            self._refuse_garbage(error)
+            self._refuse_invalid_request(error)
         except (RequestLateError, OSError):
             self._closing = True
         finally:
@@ -113,21 +114,25 @@
             self._socket.close()
 
     def close_idle(self) -> None:
-        """Close the connection if no request is under way or arriving.
+        """Close the connection if no request is in progress or arriving.
 
-        A young connection gets the time to send its first request.
+        A new connection is given time to send its first request.
         """
         self._closing = True
-        age_ms = self._state.clock.now_ms() - self._last_ms
-        if self.busy or self._reader.received or age_ms < _YOUNG_MS:
+        age_ms = self._state.clock.now_ms() - self._idle_since_ms
+        if (
+            self.busy
+            or self._reader.received
+            or age_ms < _FIRST_REQUEST_GRACE_MS
+        ):
             return
         if is_readable(self._socket):
             return
         self._reader.shut = True
         try:
-            # Wakes the greenlet that reads.
+            # Wakes the greenlet that is blocked in a read.
             self._socket.shutdown(socket.SHUT_RDWR)
-        except OSError:  # The caller was first.
+        except OSError:  # The caller has already disconnected.
             return
 
     def _limits(self) -> CallerLimits:
@@ -155,26 +160,26 @@
             self._closing = True
             send_refusal(self._state, self._make_reply(), head, refusal)
             return False
-        self._answer(head, body, arrived_ms)
+        self._respond(head, body, arrived_ms)
         self.busy = False
-        self._last_ms = self._state.clock.now_ms()
-        return self._can_go_on()
+        self._idle_since_ms = self._state.clock.now_ms()
+        return self._is_reusable()
 
-    def _answer(
+    def _respond(
         self,
         head: CallHead,
         body: RequestBody,
         arrived_ms: int,
     ) -> None:
         reply = self._make_reply()
-        taken = accept_call(self._state.routes, head, body, arrived_ms)
-        call = taken.unwrap() if isinstance(taken, Success) else None
-        refusal = self._serve(call, reply) if call else taken.failure()
+        outcome = accept_call(self._state.routes, head, body, arrived_ms)
+        call = outcome.unwrap() if isinstance(outcome, Success) else None
+        refusal = self._serve(call, reply) if call else outcome.failure()
         if refusal is not None:
             send_refusal(self._state, reply, head, refusal, call)
 
     def _serve(self, call: Call, reply: Reply) -> Refusal | None:
-        watcher = gevent.spawn(self._watch, gevent.getcurrent())
+        watcher = gevent.spawn(self._watch_for_disconnect, gevent.getcurrent())
         refusal = None
         try:
             refusal = Dispatch(
@@ -184,7 +189,7 @@
             ).serve()
         except (CallerGoneError, ReplyCutError, OSError):
             raise
-        except Exception:  # A fault of ours; the caller still gets an answer.
+        except Exception:  # Internal error; the caller still gets a response.
             refusal = self._note_fault(call, reply)
         finally:
             watcher.kill(block=False)
@@ -210,7 +215,7 @@
             now_ms=self._state.clock.now_ms,
         )
 
-    def _can_go_on(self) -> bool:
+    def _is_reusable(self) -> bool:
         return (
             self._http.our_state is h11.DONE
             and self._http.their_state is h11.DONE
@@ -221,25 +226,30 @@
         encoded = b''.join(filter(None, map(self._http.send, events)))
         if not encoded:
             return
-        self._socket.settimeout(_WRITE_MS / MS_PER_S)
+        self._socket.settimeout(_WRITE_TIMEOUT_MS / MS_PER_S)
         try:
             send_all(self._socket, encoded)
         except OSError as error:
             raise CallerGoneError from error
 
-    def _watch(self, served: Greenlet) -> None:
+    def _watch_for_disconnect(self, serving: Greenlet) -> None:
         try:
             wait_read(self._socket.fileno())
-            gone = not self._socket.recv(1, socket.MSG_PEEK)
+            disconnected = not self._socket.recv(1, socket.MSG_PEEK)
         except OSError:
-            gone = True
-        if gone:
-            served.kill(CallerGoneError, block=False)
+            disconnected = True
+        if disconnected:
+            serving.kill(CallerGoneError, block=False)
 
-    def _refuse_garbage(self, error: h11.RemoteProtocolError) -> None:
+    def _refuse_invalid_request(self, error: h11.RemoteProtocolError) -> None:
         self._closing = True
         status = error.error_status_hint or http.HTTPStatus.BAD_REQUEST
-        log_event('callers', 'Not a request.', status=status, error=str(error))
+        log_event(
+            'callers',
+            'Rejected an invalid HTTP request.',
+            status=status,
+            error=str(error),
+        )
         if self._http.our_state not in {h11.IDLE, h11.SEND_RESPONSE}:
             return
         try:
--- a/wingfall/gateway/callers/caller_server.py
+++ b/wingfall/gateway/callers/caller_server.py
@@ -1,7 +1,7 @@
-"""The port for callers, and the connections that are open on it.
+"""Server for callers' connections.
 
-Owns the listener and which of its connections are open; each of them serves
-itself.
+Owns the listener and the set of open connections. Each connection serves its
+own requests.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 
     from wingfall.gateway.state import GatewayState
 
-# Callers' connections at once; bounds the memory of a gateway.
-_MAX_CALLERS: Final = 3000
+# Limit of concurrent connections; bounds the memory of a gateway.
+_MAX_CONNECTIONS: Final = 3000
 
 
 @final
 class CallerServer:
-    """Takes callers' connections."""
+    """Accepts callers' connections and tracks the open ones."""
 
-    __slots__ = ('_open', '_server', '_state')
+    __slots__ = ('_connections', '_server', '_state')
 
     def __init__(
         self,
@@ -39,54 +39,56 @@
     ) -> None:
         """Bind the port.
 
-        :param address: ``host:port`` to listen at.
-        :param listener: the socket there, if it is listening already.
-        :param state: what connections share.
+        :param address: ``host:port`` to listen on.
+        :param listener: socket that already listens there, None to open it.
+        :param state: state that the connections share.
         """
         self._state = state
-        self._open: set[CallerConnection] = set()
+        self._connections: set[CallerConnection] = set()
         self._server = StreamServer(
             listener or tcp_listener(address, BACKLOG),
-            self._accept,
-            spawn=GreenletPool(_MAX_CALLERS),
+            self._serve_connection,
+            spawn=GreenletPool(_MAX_CONNECTIONS),
         )
 
     @property
     def port(self) -> int:
-        """Port of the listener."""
+        """Port number of the listener."""
         return int(self._server.socket.getsockname()[1])
 
     @property
     def calls(self) -> int:
-        """How many calls are under way."""
-        return sum(connection.busy for connection in self._open)
+        """Number of calls in progress."""
+        return sum(connection.busy for connection in self._connections)
 
     @property
     def is_empty(self) -> bool:
         """Whether no connection is open."""
-        return not self._open
+        return not self._connections
 
     def start(self) -> None:
-        """Start accepting, and return."""
+        """Start accepting connections in the background."""
         self._server.start()
 
     def stop_accepting(self) -> None:
-        """Take no new connection; those that are open go on."""
+        """Stop accepting connections; open connections continue."""
         self._server.close()
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is under way."""
-        for connection in list(self._open):
+        """Close the connections without a request in progress."""
+        for connection in list(self._connections):
             connection.close_idle()
 
     def stop(self) -> None:
-        """End all connections now."""
+        """Terminate all connections immediately."""
         self._server.stop(timeout=0)
 
-    def _accept(self, sock: socket.socket, peer: tuple[str, int]) -> None:
+    def _serve_connection(
+        self, sock: socket.socket, peer: tuple[str, int]
+    ) -> None:
         connection = CallerConnection(sock=sock, state=self._state)
-        self._open.add(connection)
+        self._connections.add(connection)
         try:
             connection.run()
         finally:
-            self._open.discard(connection)
+            self._connections.discard(connection)
--- a/wingfall/gateway/callers/request_reader.py
+++ b/wingfall/gateway/callers/request_reader.py
@@ -1,4 +1,4 @@
-"""Reads the requests of one caller's connection, each within its limits."""
+"""Reads the requests of a caller's connection within size and time limits."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
     from wingfall.gateway.model.request_body import RequestBody
     from wingfall.gateway.model.routes import CallerLimits
 
-# Bytes of one read: what a socket holds.
-_READ_BYTES: Final = 65_536
-# Callers use a connection up to four fifths of the idle bound; some more
-# than the bound is given, since their clocks and ways differ.
-_IDLE_PART: Final = 1.1
-# Milliseconds for a whole body. The longest time of a call without a deadline
-# of its own.
-_BODY_MS: Final = 30_000
+# Size of one read: the capacity of a socket buffer.
+_MAX_READ_BYTES: Final = 65_536
+# Callers reuse a connection for up to four fifths of the idle timeout. The
+# gateway waits longer than the timeout, since clocks and network delays differ.
+_IDLE_TIMEOUT_RATIO: Final = 1.1
+# Time limit of a whole body: the longest time of a call that has no deadline of
+# its own.
+_BODY_TIMEOUT_MS: Final = 30_000
 
 
 class RequestLateError(Exception):
-    """A request began and did not come in time, or none began."""
+    """A request did not start, or did not arrive completely, in time."""
 
 
 @final
 class RequestReader:
-    """Reads heads and bodies within the bounds in force."""
+    """Reads request heads and bodies within the current limits."""
 
     __slots__ = (
         '_clock',
@@ -54,34 +54,35 @@
         limits: Callable[[], CallerLimits],
         write: EventWriter,
     ) -> None:
-        """Read from a connection.
+        """Initialize the reader of a connection.
 
-        :param sock: its socket.
-        :param http: its state of HTTP.
-        :param clock: the time.
-        :param limits: gives the bounds in force.
-        :param write: writes to the caller.
+        :param sock: socket of the connection.
+        :param http: HTTP protocol state of the connection.
+        :param clock: clock for the timeouts.
+        :param limits: returns the current limits.
+        :param write: sends HTTP events to the caller.
         """
         self._socket = sock
         self._http = http
         self._clock = clock
         self._limits = limits
         self._write = write
-        # Whether bytes of the next request have come.
+        # Whether bytes of the next request have been received.
         self.received = False
-        # Whether this side has closed; what the socket says then is no request.
+        # Whether the gateway has shut the socket down; what is read from then
+        # on is no request.
         self.shut = False
 
     def start_next(self) -> None:
-        """Make ready for the next request."""
+        """Reset the protocol state for the next request."""
         self._http.start_next_cycle()
         self.received = bool(self._http.trailing_data[0])
 
     def read_request(self) -> h11.Request | None:
         """Read the head of a request.
 
-        :returns: the head, None if the connection has ended.
-        :raises RequestLateError: if it did not come in time.
+        :returns: the request head, None if the connection has ended.
+        :raises RequestLateError: if the head did not arrive in time.
         """
         started_ms = self._clock.now_ms()
         while True:
@@ -102,10 +103,10 @@
         """Read the body of a request.
 
         :returns: the whole body, None if it is too large.
-        :raises RequestLateError: if it did not come in time.
+        :raises RequestLateError: if the body did not arrive in time.
         """
         body = BodyReader()
-        until_ms = self._clock.now_ms() + _BODY_MS
+        deadline_ms = self._clock.now_ms() + _BODY_TIMEOUT_MS
         while True:
             if self._http.they_are_waiting_for_100_continue:
                 self._write(
@@ -113,7 +114,7 @@
                 )
             event = self._http.next_event()
             if event is h11.NEED_DATA:
-                self._read(until_ms)
+                self._read(deadline_ms)
             elif isinstance(event, h11.Data):
                 body.add(bytes(event.data))
                 if body.size > self._limits().body_bytes:
@@ -123,19 +124,19 @@
 
     def _wait_for_first_byte(self, started_ms: int) -> None:
         while not self.received:
-            # The bound may have changed while the connection rested.
-            idle_ms = self._limits().idle_ms * _IDLE_PART
+            # The timeout may change while the connection is idle.
+            idle_ms = self._limits().idle_ms * _IDLE_TIMEOUT_RATIO
             self._read(started_ms + int(idle_ms))
 
-    def _read(self, until_ms: int) -> bool:
-        left_ms = until_ms - self._clock.now_ms()
-        if left_ms <= 0:
+    def _read(self, deadline_ms: int) -> bool:
+        remaining_ms = deadline_ms - self._clock.now_ms()
+        if remaining_ms <= 0:
             raise RequestLateError
-        self._socket.settimeout(left_ms / MS_PER_S)
+        self._socket.settimeout(remaining_ms / MS_PER_S)
         try:
-            received = self._socket.recv(_READ_BYTES)
+            received = self._socket.recv(_MAX_READ_BYTES)
         except TimeoutError:
-            return self._read(until_ms)
+            return self._read(deadline_ms)
         self.received = True
         self._http.receive_data(received)
         return bool(received)
