--- a/tests/test_early_listener.py
+++ b/tests/test_early_listener.py
@@ -1,4 +1,4 @@
-"""Connections that wait for a gateway that is still loading."""
+"""Listening for callers while the gateway is still loading."""
 
 from __future__ import annotations
 
--- a/wingfall/gateway/callers/early_listener.py
+++ b/wingfall/gateway/callers/early_listener.py
@@ -1,8 +1,8 @@
-"""Takes callers' connections before the rest of the program is loaded.
+"""Opens the callers' port before the rest of the program is imported.
 
-A restart takes some tenths of a second, most of it imports. Callers whose
-connections wait for that time are served late instead of being refused, so
-this module imports nothing but what it needs.
+A restart takes some tenths of a second, most of it for imports. Connections
+queue during that time and are served late instead of being refused, so this
+module imports only what it needs.
 """
 
 from __future__ import annotations
@@ -10,20 +10,22 @@
 import re
 import socket
 
-# Connections that wait while the program loads, some 0.5 s.
+# Limit of connections that queue while the program loads, about 0.5 s.
 BACKLOG = 1024
 _SETTINGS_FLAG = '--settings'
-_CALLERS = re.compile(r'^callers:\s*"?([\d.]+):(\d+)"?\s*$', re.MULTILINE)
+_CALLERS_SETTING = re.compile(
+    r'^callers:\s*"?([\d.]+):(\d+)"?\s*$', re.MULTILINE
+)
 
 
 def listen_early(arguments: list[str]) -> socket.socket | None:
-    """Listen for callers where the settings file says.
+    """Listen for callers on the address in the settings file.
 
-    The file is checked later; one that can't be read here is left to that
-    check.
+    A file that can't be read here is reported by the later check of the
+    settings.
 
-    :param arguments: the command line.
-    :returns: the listening socket, None if the address isn't plain to see.
+    :param arguments: command line, with the program name first.
+    :returns: the listening socket, None if no address was found or bound.
     """
     address = _find_address(arguments)
     if address is None:
@@ -45,7 +47,7 @@
     path = arguments[arguments.index(_SETTINGS_FLAG) + 1]
     try:
         with open(path, encoding='utf-8') as settings:
-            found = _CALLERS.search(settings.read())
+            match = _CALLERS_SETTING.search(settings.read())
     except (OSError, UnicodeDecodeError):
         return None
-    return (found.group(1), int(found.group(2))) if found else None
+    return (match.group(1), int(match.group(2))) if match else None
--- a/wingfall/gateway/callers/readiness.py
+++ b/wingfall/gateway/callers/readiness.py
@@ -1,6 +1,6 @@
-"""Answers the load balancer's question whether this gateway is ready.
+"""Readiness check for the load balancer.
 
-Owns nothing; the application tells why it is not ready.
+Holds no state; the application reports why the gateway is not ready.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
     path: str,
     not_ready: Callable[[], str],
 ) -> bottle.Bottle:
-    """Make the application of the readiness port.
+    """Create the WSGI application of the readiness port.
 
-    :param path: the path that the balancer asks.
-    :param not_ready: gives why the gateway isn't ready, empty if it is.
+    :param path: path that the load balancer requests.
+    :param not_ready: returns why the gateway isn't ready, or ''.
     :returns: the application.
     """
     app = bottle.Bottle()
 
-    def show_ready() -> bottle.HTTPResponse:
+    def show_readiness() -> bottle.HTTPResponse:
         reason = not_ready()
         if reason:
             status = http.HTTPStatus.SERVICE_UNAVAILABLE
@@ -32,5 +32,5 @@
             status = http.HTTPStatus.OK
         return bottle.HTTPResponse(f'{reason or "ready"}\n', status.value)
 
-    app.get(path, callback=show_ready)
+    app.get(path, callback=show_readiness)
     return app
