--- a/tests/gateway_site.py
+++ b/tests/gateway_site.py
@@ -1,4 +1,4 @@
-"""A site of gateways and stand-ins that run in the test's process."""
+"""Gateways with stand-in services, all in the process of the test."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 
 HOST: Final = '127.0.0.1'
 KEY: Final = 'key-of-oslo'
-_READ_BYTES: Final = 65_536
+_MAX_READ_BYTES: Final = 65_536
 _TIMEOUT_S: Final = 15
 
 
 @final
 class CallerStandIn:
-    """One connection of a caller."""
+    """Client for a single connection to a gateway."""
 
     def __init__(self, *, port: int) -> None:
-        """Connect.
+        """Connect to a gateway.
 
-        :param port: the gateway's port.
+        :param port: port for callers.
         """
         self.sock = socket.create_connection((HOST, port), _TIMEOUT_S)
         self._http = h11.Connection(h11.CLIENT)
-        self._used = False
+        self._has_sent = False
 
     def send(
         self,
@@ -50,34 +50,34 @@
     ) -> None:
         """Send a request.
 
-        :param target: its path and query.
-        :param method: its method.
-        :param body: its body.
-        :param headers: its headers, ``_`` for ``-``.
+        :param target: path and query.
+        :param method: HTTP method.
+        :param body: request body.
+        :param headers: additional headers, ``_`` for ``-``, empty to omit one.
         """
-        if self._used:
+        if self._has_sent:
             self._http.start_next_cycle()
-        self._used = True
-        named = {
+        self._has_sent = True
+        all_headers = {
             'Host': 'site.example',
             'Authorization': f'Token {KEY}',
             'X-Attempt-Id': 'a1',
             **{name.replace('_', '-'): text for name, text in headers.items()},
         }
         if body:
-            named['Content-Length'] = str(len(body))
+            all_headers['Content-Length'] = str(len(body))
         request = h11.Request(
             method=method,
             target=target,
-            headers=[pair for pair in named.items() if pair[1]],
+            headers=[pair for pair in all_headers.items() if pair[1]],
         )
         events = [request, h11.Data(data=body), h11.EndOfMessage()]
         self.sock.sendall(b''.join(map(self._http.send, events)))
 
     def receive(self) -> ReceivedAnswer:
-        """Read an answer, as far as it comes.
+        """Read a response until its end or the end of the connection.
 
-        :returns: the answer; ``whole`` tells whether it has its end.
+        :returns: the response; ``whole`` is False if it was cut off.
         """
         answer = ReceivedAnswer()
         try:
@@ -87,9 +87,9 @@
         return answer
 
     def closed(self) -> bool:
-        """Wait for the gateway to close.
+        """Wait until the gateway closes the connection or sends data.
 
-        :returns: whether it did so without sending more.
+        :returns: whether the gateway closed without sending data.
         """
         try:
             return self.sock.recv(1) == b''
@@ -97,14 +97,14 @@
             return True
 
     def close(self) -> None:
-        """Leave."""
+        """Close the connection."""
         self.sock.close()
 
     def _receive(self, answer: ReceivedAnswer) -> None:
         while not answer.whole:
             event = self._http.next_event()
             if event is h11.NEED_DATA:
-                self._http.receive_data(self.sock.recv(_READ_BYTES))
+                self._http.receive_data(self.sock.recv(_MAX_READ_BYTES))
             elif isinstance(event, h11.ConnectionClosed):
                 return
             else:
@@ -113,10 +113,10 @@
 
 @final
 class GatewaySite:
-    """One store, and the endpoints and gateways that a test adds."""
+    """A configuration store with the endpoints and gateways of a test."""
 
     def __init__(self) -> None:
-        """Start the store with a configuration."""
+        """Start the store with a default configuration."""
         self.store = ObjectStoreStandIn()
         self._store_server = start_server(self.store.app)
         self.servers: dict[str, PoolServerStandIn] = {}
@@ -149,15 +149,15 @@
         self.write_config()
 
     def write_config(self) -> None:
-        """Write the configuration with the next version."""
+        """Store the configuration with the next version."""
         self.config = {**self.config, 'version': self.config['version'] + 1}
         self.store.put('config', 'main', self.config)
 
     def add_server(self, name: str, pool: str = 'plain') -> PoolServerStandIn:
-        """Add an endpoint and list it.
+        """Start an endpoint and add its entry to the store.
 
-        :param name: its id.
-        :param pool: its pool.
+        :param name: endpoint id.
+        :param pool: name of the pool.
         :returns: the endpoint.
         """
         server = PoolServerStandIn(name=name)
@@ -166,21 +166,21 @@
         return server
 
     def list_server(self, name: str, pool: str, state: str = 'ready') -> None:
-        """Write an endpoint's entry.
+        """Write an endpoint's entry to the store.
 
-        :param name: its id.
-        :param pool: its pool.
+        :param name: endpoint id.
+        :param pool: name of the pool.
         :param state: ``ready`` or ``draining``.
         """
         self.store.put('servers', name, self.entry(name, pool, state=state))
 
     def entry(self, name: str, pool: str, **changes: Any) -> dict[str, Any]:
-        """Make an endpoint's entry.
+        """Create an endpoint's store entry.
 
-        :param name: its id.
-        :param pool: its pool.
-        :param changes: fields that differ.
-        :returns: what the entry says.
+        :param name: endpoint id.
+        :param pool: name of the pool.
+        :param changes: fields that differ from the defaults.
+        :returns: the fields of the entry.
         """
         return {
             'service': pool,
@@ -195,7 +195,7 @@
     def add_gateway(self, **changes: Any) -> GatewayApplication:
         """Start a gateway and wait until it is ready.
 
-        :param changes: settings that differ.
+        :param changes: settings that differ from the defaults.
         :returns: the gateway.
         """
         gateway = self.start_gateway(**changes)
@@ -203,9 +203,9 @@
         return gateway
 
     def start_gateway(self, **changes: Any) -> GatewayApplication:
-        """Start a gateway.
+        """Start a gateway without waiting for its readiness.
 
-        :param changes: settings that differ.
+        :param changes: settings that differ from the defaults.
         :returns: the gateway.
         """
         gateway = GatewayApplication(
@@ -216,10 +216,10 @@
         return gateway
 
     def settings(self, **changes: Any) -> dict[str, Any]:
-        """Write the settings of the next gateway.
+        """Create the settings of the next gateway.
 
-        :param changes: sections that differ.
-        :returns: the settings.
+        :param changes: sections that differ from the defaults.
+        :returns: the settings as in a settings file.
         """
         return {
             'name': f'gateway-{len(self.gateways)}',
@@ -236,45 +236,45 @@
         }
 
     def parse(self, settings: dict[str, Any]) -> SimpleNamespace:
-        """Check settings.
+        """Parse and check settings.
 
-        :param settings: the settings.
-        :returns: them with all defaults.
+        :param settings: settings as in a settings file.
+        :returns: the settings with all defaults.
         """
         parsed = parse_settings('test', yaml.dump(settings), GATEWAY_SCHEMA)
         assert isinstance(parsed, Success), list(map(str, parsed.failure()))
         return parsed.unwrap()
 
     def seeds(self) -> list[str]:
-        """List where gateways are found.
+        """List the peer addresses of the started gateways.
 
-        :returns: ``host:port`` of those that were started.
+        :returns: a ``host:port`` per gateway.
         """
         return [gateway.peer_address for gateway in self.gateways]
 
     def caller(self, number: int = 0) -> CallerStandIn:
-        """Connect a caller.
+        """Connect a caller to a gateway.
 
-        :param number: which gateway.
+        :param number: index of the gateway.
         :returns: the connection.
         """
         return CallerStandIn(port=self.gateways[number].caller_port)
 
-    def ask(self, target: str, **named: Any) -> ReceivedAnswer:
+    def ask(self, target: str, **options: Any) -> ReceivedAnswer:
         """Send one request on a new connection.
 
-        :param target: its path.
-        :param named: see :meth:`CallerStandIn.send`.
-        :returns: the answer.
+        :param target: path and query.
+        :param options: see :meth:`CallerStandIn.send`.
+        :returns: the response.
         """
         caller = self.caller()
-        caller.send(target, **named)
+        caller.send(target, **options)
         answer = caller.receive()
         caller.close()
         return answer
 
     def close(self) -> None:
-        """End everything."""
+        """Stop the gateways, the endpoints and the store."""
         for gateway in self.gateways:
             gateway.close()
         for server in self.servers.values():
@@ -283,29 +283,29 @@
 
 
 def known_endpoints(gateway: GatewayApplication) -> EndpointTable:
-    """Give the endpoints that a gateway knows."""
+    """Return the table of endpoints known to a gateway."""
     return gateway._state.knowledge.table
 
 
 def holds_watch(gateway: GatewayApplication) -> bool:
-    """Tell whether a gateway watches the store for others as well."""
+    """Check if a gateway watches the store on behalf of its peers."""
     return gateway._peers.view.holds_watch
 
 
 def caches_part(gateway: GatewayApplication, engine: str, part_id: str) -> bool:
-    """Tell whether an engine is believed to cache a part of prompts."""
+    """Check if a gateway estimates that an engine caches a prompt part."""
     part = PromptPart(part_id=part_id, tokens=1)
     cache = gateway._state.knowledge.caches.find(engine)
     return bool(cache.cached_tokens([part]))
 
 
 def route(name: str, pool: str, **changes: Any) -> dict[str, Any]:
-    """Describe a route as the platform stores it.
+    """Create a route in the format of the store.
 
-    :param name: its name and path.
-    :param pool: its pool.
-    :param changes: fields that differ.
-    :returns: the route.
+    :param name: name of the route and its path.
+    :param pool: name of the pool.
+    :param changes: fields that differ from the defaults.
+    :returns: the fields of the route.
     """
     return {
         'name': name,
