--- a/tests/test_sending_gate.py
+++ b/tests/test_sending_gate.py
@@ -1,4 +1,4 @@
-"""Whether a request may be sent to an endpoint, by what the endpoint said."""
+"""Sending of requests under the limits, rests and leavings of endpoints."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
 
 @pytest.fixture
 def clock() -> ManualClock:
-    """Give a clock that stands at a second."""
+    """Return a clock stopped at 1000 ms."""
     return ManualClock(start_ms=1000)
 
 
 @pytest.fixture
 def signals(clock: ManualClock) -> EndpointSignals:
-    """Give what endpoints have said, nothing yet."""
+    """Return signals without entries."""
     return EndpointSignals(name='g1', clock=clock)
 
 
 @pytest.fixture
 def gate(clock: ManualClock, signals: EndpointSignals) -> SendingGate:
-    """Give the gate of a gateway without peers."""
+    """Return the gate of a gateway without peers."""
     return SendingGate(
         name='g1', clock=clock, signals=signals, rate_share=share_among_few
     )
@@ -46,10 +46,10 @@
 
 @pytest.fixture
 def site() -> Iterator[GatewaySite]:
-    """Give a site that is closed after the test."""
-    made = GatewaySite()
-    yield made
-    made.close()
+    """Provide a site that is closed after the test."""
+    created = GatewaySite()
+    yield created
+    created.close()
 
 
 def test_endpoint_that_said_nothing_takes_all(gate: SendingGate):
@@ -87,7 +87,7 @@
     clock.advance(3000)
     gate.note_gateways(heard=['g2'], stopping=[], known=2)
     assert gate.gateways == {'g1', 'g2'}
-    # One that says that it stops sends nothing new.
+    # A gateway that announces its stop sends no new requests.
     gate.note_gateways(heard=['g2'], stopping=['g2'], known=2)
     gate.note_gateways(heard=['g2'], stopping=['g2'], known=2)
     clock.advance(3000)
@@ -132,17 +132,17 @@
         )
         answers.append(caller.receive())
     assert [each.status for each in answers] == [503, 503, 503]
-    told = [float(each.headers['retry-after']) for each in answers]
-    assert 0 < told[0] <= 2
-    assert told[1] >= told[0] + 1.9
-    assert told[2] >= told[1] + 1.9
+    retry_after_s = [float(each.headers['retry-after']) for each in answers]
+    assert 0 < retry_after_s[0] <= 2
+    assert retry_after_s[1] >= retry_after_s[0] + 1.9
+    assert retry_after_s[2] >= retry_after_s[1] + 1.9
     assert b'endpoints_limited' in answers[0].body
-    # The question what it keeps, and the first call.
+    # The query for cached prompt parts and the first call.
     assert len(engine.signals.arrivals) == 2
     wait_until(lambda: gateway.status()['limited_endpoints'])
-    shown = gateway.status()['limited_endpoints'][0]
-    assert (shown['limit'], shown['own_part']) == (1 / 2, 1 / 2)
-    assert shown['told_by'] == gateway.status()['name']
+    limited = gateway.status()['limited_endpoints'][0]
+    assert (limited['limit'], limited['own_part']) == (1 / 2, 1 / 2)
+    assert limited['told_by'] == gateway.status()['name']
 
 
 def test_rest_is_kept_and_returned_from_step_by_step(
@@ -155,14 +155,14 @@
             sent_ms.append(at_ms)
         clock.advance(1)
     assert 2500 <= sent_ms[0] <= 2750
-    # Five a second at first, all of them a second later.
-    first = [at_ms for at_ms in sent_ms if at_ms < sent_ms[0] + 1000]
-    assert len(first) == 5
+    # Five requests in the first second, no limit after that.
+    first_second = [at_ms for at_ms in sent_ms if at_ms < sent_ms[0] + 1000]
+    assert len(first_second) == 5
     assert len(sent_ms) > 1000
 
 
 def test_gateways_return_at_moments_of_their_own(clock: ManualClock):
-    opening_ms = set()
+    ready_times_ms = set()
     for number in range(20):
         name = f'g{number}'
         signals = EndpointSignals(name=name, clock=clock)
@@ -170,9 +170,9 @@
             name=name, clock=clock, signals=signals, rate_share=share_among_few
         )
         signals.note_answer(ENDPOINT, AnswerSignals(rest_ms=1000), 900)
-        opening_ms.add(gate.opens_in_ms(ENDPOINT))
-    assert len(opening_ms) > 10
-    assert max(opening_ms) - min(opening_ms) > 100
+        ready_times_ms.add(gate.opens_in_ms(ENDPOINT))
+    assert len(ready_times_ms) > 10
+    assert max(ready_times_ms) - min(ready_times_ms) > 100
 
 
 def test_rest_of_a_year_is_a_year(
@@ -199,7 +199,7 @@
         caller.send('/safe/a', X_Deadline_Ms='9000', X_Attempt_Id=call_id)
         answers.append(caller.receive())
     assert {each.status for each in answers} == {503}
-    # No endpoint was asked again while it rested.
+    # No endpoint received a request during its rest.
     assert [len(server.signals.arrivals) for server in servers] == [1, 1, 1]
     last = answers[-12 + 3]
     assert b'endpoints_resting' in last.body
@@ -230,14 +230,14 @@
         caller.send('/safe/a', X_Attempt_Id=f'call-{number}')
         assert caller.receive().status == 200
     wait_until(lambda: second.status()['leaving_endpoints'] == ['plain-0'])
-    # The entry is written again, lapses and comes back: it stays so.
+    # The endpoint stays excluded if its entry expires and is written again.
     site.list_server('plain-0', 'plain')
-    told = len(leaving.signals.arrivals)
+    arrivals_before = len(leaving.signals.arrivals)
     caller = CallerStandIn(port=second.caller_port)
     for number in range(6):
         caller.send('/safe/a', X_Attempt_Id=f'other-{number}')
         assert caller.receive().status == 200
-    assert told == len(leaving.signals.arrivals) == 1
+    assert arrivals_before == len(leaving.signals.arrivals) == 1
     assert len(staying.signals.arrivals) == 11
 
 
@@ -251,7 +251,7 @@
         caller.send('/safe/a', X_Attempt_Id=f'call-{number}')
         statuses.append(caller.receive().status)
     assert statuses == [200, 503, 503]
-    # Its next start is another endpoint.
+    # A restart of the endpoint is listed as another endpoint.
     site.add_server('plain-1')
     wait_until(lambda: 'plain-1' in gateway.status()['endpoints'])
     caller.send('/safe/a', X_Attempt_Id='call-9')
--- a/wingfall/gateway/endpoints/kept_connections.py
+++ b/wingfall/gateway/endpoints/kept_connections.py
@@ -1,7 +1,7 @@
-"""Idle connections to endpoints, kept for further requests.
+"""Cache of idle connections to endpoints.
 
-Owns them between two requests. A kept one may be dead without a sign, so
-requests that may not be repeated get a new one.
+The cache owns connections between two requests. A cached connection may be
+broken without notice, so requests that must not be repeated use a new one.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 
 @final
 class KeptConnections:
-    """Idle connections to endpoints, the newest taken first."""
+    """Idle connections to endpoints; the newest is reused first."""
 
     __slots__ = ('_clock', '_gate', '_idle')
 
     def __init__(self, *, clock: Clock, gate: SendingGate) -> None:
-        """Start without connections.
+        """Create an empty cache.
 
-        :param clock: the time.
-        :param gate: tells whether an endpoint takes a request now.
+        :param clock: clock of this gateway.
+        :param gate: gate that decides whether an endpoint takes a request now.
         """
         self._clock = clock
         self._gate = gate
@@ -42,26 +42,26 @@
         timeout_ms: int,
         kept: bool,
     ) -> EndpointConnection:
-        """Give a connection to an endpoint, for one request to be sent now.
+        """Return a connection to an endpoint for a request to be sent now.
 
-        :param endpoint: the endpoint.
-        :param timeout_ms: how long a new one may take to come up.
-        :param kept: whether one that was used before will do.
-        :returns: the connection.
-        :raises NotConnectedError: if none came up.
+        :param endpoint: endpoint to connect to.
+        :param timeout_ms: maximum milliseconds to establish a new connection.
+        :param kept: whether an idle connection may be reused.
+        :returns: a connection, owned by the caller.
+        :raises NotConnectedError: if the connection can't be established.
         :raises HeldError: if the endpoint takes no request now.
         """
-        # Asked here, where every request to an endpoint passes: what it says
-        # counts retries, resumed streams and questions of our own as well.
-        held = self._gate.why_held(endpoint.name)
-        if held is not None:
-            raise HeldError(held)
-        connection = self._find(endpoint, timeout_ms, kept=kept)
-        # What the endpoint says may have come while the connection came up.
-        held = self._gate.take(endpoint.name)
-        if held is not None:
+        # Every request to an endpoint passes here, so its limits also count
+        # retries, resumed streams and requests of the gateway itself.
+        withheld = self._gate.why_held(endpoint.name)
+        if withheld is not None:
+            raise HeldError(withheld)
+        connection = self._reuse_or_connect(endpoint, timeout_ms, kept=kept)
+        # A signal of the endpoint may have arrived during the connect.
+        withheld = self._gate.take(endpoint.name)
+        if withheld is not None:
             connection.close()
-            raise HeldError(held)
+            raise HeldError(withheld)
         return connection
 
     def give_back(
@@ -69,10 +69,10 @@
         endpoint: PoolEndpoint,
         connection: EndpointConnection,
     ) -> None:
-        """Keep a connection after a whole answer, if it can be used again.
+        """Cache a connection after a complete answer, or close it.
 
-        :param endpoint: the endpoint.
-        :param connection: the connection.
+        :param endpoint: endpoint of the connection.
+        :param connection: connection that is no longer in use.
         """
         if connection.release():
             self._idle.setdefault(endpoint.name, []).append(connection)
@@ -80,17 +80,17 @@
             connection.close()
 
     def forget(self, names: set[str]) -> None:
-        """Close connections to endpoints that are not listed any more.
+        """Close expired connections and those to unlisted endpoints.
 
-        :param names: the endpoints that are listed.
+        :param names: names of the listed endpoints.
         """
         for name in self._idle.keys() - names:
             for connection in self._idle.pop(name):
                 connection.close()
         for idle in self._idle.values():
-            self._close_old(idle)
+            self._close_expired(idle)
 
-    def _find(
+    def _reuse_or_connect(
         self,
         endpoint: PoolEndpoint,
         timeout_ms: int,
@@ -105,8 +105,8 @@
             connection.close()
         return connect(endpoint, self._clock, timeout_ms)
 
-    def _close_old(self, idle: list[EndpointConnection]) -> None:
-        old = [each for each in idle if not each.is_reusable]
-        for connection in old:
+    def _close_expired(self, idle: list[EndpointConnection]) -> None:
+        expired = [each for each in idle if not each.is_reusable]
+        for connection in expired:
             idle.remove(connection)
             connection.close()
--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -1,9 +1,9 @@
-"""Whether an endpoint takes a request of this gateway now.
+"""Check if an endpoint takes a request of this gateway now.
 
-Asked wherever a request is sent, last of all by
-:mod:`wingfall.gateway.endpoints.kept_connections`, so that no way to an
-endpoint passes by what it has said. Owns the pace at each endpoint that names a
-limit.
+The gate is checked wherever a request is sent, finally by
+:mod:`wingfall.gateway.endpoints.kept_connections`, so that no request bypasses
+the signals of its endpoint. The gate owns the token bucket of each endpoint
+that sends a limit.
 """
 
 from __future__ import annotations
@@ -28,32 +28,32 @@
     from wingfall.gateway.model.endpoint_limit import EndpointLimit
     from wingfall.gateway.rules.pacing.rate_share import RateShare
 
-# Requests a second that go to an endpoint which names less, 0 among it: one now
-# and then has to ask whether the limit still holds.
-_LEAST_RATE: Final = 0.1
-# Milliseconds over which gateways return to an endpoint that names no limit any
-# more, each at a moment of its own, so that it doesn't meet all at once.
-_RETURN_MS: Final = 2000
-# Milliseconds for which a gateway that is silent still has its part of limits:
-# it may only be cut off from this one, and go on sending.
-_SILENT_MS: Final = 3000
+# Applies also to an endpoint with a lower limit or a limit of 0: an occasional
+# request has to check if the limit still holds.
+_MIN_REQUESTS_PER_S: Final = 0.1
+# After the end of a limit, gateways return to the endpoint at different moments
+# within this time, so that it does not get a burst of all of them.
+_RETURN_SPREAD_MS: Final = 2000
+# A silent gateway keeps its share of limits for this time: it may only be
+# disconnected from this gateway and continue sending.
+_SILENT_RETENTION_MS: Final = 3000
 
 
 @final
 class SendingGate:
-    """Asks what endpoints have said before a request is sent."""
+    """Checks the signals of an endpoint before a request is sent."""
 
     __slots__ = (
         '_clock',
+        '_gateway_count',
         '_gateways',
-        '_known',
         '_name',
-        '_paces',
+        '_ramp_ups',
         '_rate_share',
-        '_returns',
         '_shares',
         '_signals',
-        '_silent_ms',
+        '_silent_since_ms',
+        '_token_buckets',
     )
 
     def __init__(
@@ -64,25 +64,25 @@
         signals: EndpointSignals,
         rate_share: RateShare,
     ) -> None:
-        """Start without a pace.
+        """Create a gate without token buckets.
 
         :param name: name of this gateway.
-        :param clock: the time.
-        :param signals: what endpoints have said.
-        :param rate_share: the rule that divides limits among gateways.
+        :param clock: clock of this gateway.
+        :param signals: limits, rests and leavings that endpoints have sent.
+        :param rate_share: rule that divides limits among gateways.
         """
         self._name = name
         self._clock = clock
         self._signals = signals
         self._rate_share = rate_share
         self._gateways = frozenset((name,))
-        self._known = 1
-        # When gateways that didn't say that they stop were heard last.
-        self._silent_ms: dict[str, int] = {}
-        self._paces: dict[str, Pace] = {}
-        self._returns: dict[str, RestReturn] = {}
-        # This gateway's part of limits as they were when it was worked out,
-        # until gateways come or go.
+        self._gateway_count = 1
+        # When gateways disconnected that had not announced a stop.
+        self._silent_since_ms: dict[str, int] = {}
+        self._token_buckets: dict[str, Pace] = {}
+        self._ramp_ups: dict[str, RestReturn] = {}
+        # Limit and share of this gateway by endpoint, cleared whenever the set
+        # of gateways changes.
         self._shares: dict[str, tuple[float, float]] = {}
 
     @property
@@ -96,46 +96,47 @@
         stopping: Iterable[str],
         known: int,
     ) -> None:
-        """Tell which gateways there are beside this one.
+        """Record the gateways that limits are divided among.
 
-        :param heard: the connected peers.
-        :param stopping: those of them that send nothing new.
-        :param known: how many gateways there may be, with those not heard.
+        :param heard: names of the connected peers.
+        :param stopping: names of the connected peers that send no new requests.
+        :param known: number of gateways including peers that are not connected.
         """
         now_ms = self._clock.now_ms()
         sending = {self._name, *heard}.difference(stopping)
-        for gone in self._gateways - sending:
-            self._silent_ms.setdefault(gone, now_ms)
-        for back in sending.union(stopping):
-            self._silent_ms.pop(back, None)
+        for removed in self._gateways - sending:
+            self._silent_since_ms.setdefault(removed, now_ms)
+        for connected in sending.union(stopping):
+            self._silent_since_ms.pop(connected, None)
         silent = {
             name: since_ms
-            for name, since_ms in self._silent_ms.items()
-            if now_ms - since_ms < _SILENT_MS
+            for name, since_ms in self._silent_since_ms.items()
+            if now_ms - since_ms < _SILENT_RETENTION_MS
         }
-        self._silent_ms = silent
+        self._silent_since_ms = silent
         gateways = frozenset(sending.union(silent))
         known = max(known, len(gateways))
-        if gateways != self._gateways or known != self._known:
+        if gateways != self._gateways or known != self._gateway_count:
             self._gateways = gateways
-            self._known = known
+            self._gateway_count = known
             self._shares.clear()
 
     def why_held(self, endpoint: str) -> Held | None:
-        """Tell why an endpoint takes no request now.
+        """Return the reason why an endpoint takes no request now.
 
         :param endpoint: name of the endpoint.
-        :returns: the reason, None if it takes one.
+        :returns: the reason, None if the endpoint takes a request.
         """
-        # Whatever the store says: its entry may be old, or lapse and come back.
+        # Overrides the entry in the store, which may be outdated, or expire and
+        # be written again.
         if endpoint in self._signals.leaving:
             return Held.leaving
         now_ms = self._clock.now_ms()
-        coming_back = self._rest_return(endpoint, now_ms)
-        if coming_back is not None and coming_back.ready_in_ms(now_ms):
+        ramp_up = self._ramp_up(endpoint, now_ms)
+        if ramp_up is not None and ramp_up.ready_in_ms(now_ms):
             return Held.resting
-        pace = self._pace(endpoint)
-        if pace is not None and pace.ready_in_ms(now_ms):
+        bucket = self._token_bucket(endpoint)
+        if bucket is not None and bucket.ready_in_ms(now_ms):
             return Held.limited
         return None
 
@@ -143,84 +144,86 @@
         """Count a request that is about to be sent.
 
         :param endpoint: name of the endpoint.
-        :returns: why it must not be sent, None if it may be.
+        :returns: the reason why it must not be sent, None if it may be sent.
         """
-        held = self.why_held(endpoint)
-        if held is not None:
-            return held
+        withheld = self.why_held(endpoint)
+        if withheld is not None:
+            return withheld
         now_ms = self._clock.now_ms()
-        for pace in (self._rest_return(endpoint, now_ms), self._pace(endpoint)):
-            if pace is not None:
-                pace.take(now_ms)
+        for limiter in (
+            self._ramp_up(endpoint, now_ms),
+            self._token_bucket(endpoint),
+        ):
+            if limiter is not None:
+                limiter.take(now_ms)
         return None
 
     def is_limited(self, endpoint: str) -> bool:
-        """Tell whether an endpoint takes few requests.
+        """Check if the request rate of an endpoint is limited.
 
         :param endpoint: name of the endpoint.
-        :returns: whether it names a limit or asked for rest, or did so a
-            moment ago.
+        :returns: whether a limit or a rest is in force or has just ended.
         """
         now_ms = self._clock.now_ms()
         return (
-            self._pace(endpoint) is not None
-            or self._rest_return(endpoint, now_ms) is not None
+            self._token_bucket(endpoint) is not None
+            or self._ramp_up(endpoint, now_ms) is not None
         )
 
     def rate_of_all(self, endpoint: str) -> float:
-        """Tell what an endpoint takes of all gateways.
+        """Return the request rate that an endpoint takes from all gateways.
 
         :param endpoint: name of the endpoint.
-        :returns: requests a second, what it takes at first after a rest where
-            it names no limit.
+        :returns: requests per second; without a limit, the initial rate after a
+            rest.
         """
         limit = self._signals.limits.get(endpoint)
         if limit is None or limit.rate is None:
             return RETURN_RATE * len(self._gateways)
-        return max(_LEAST_RATE, limit.rate)
+        return max(_MIN_REQUESTS_PER_S, limit.rate)
 
     def opens_in_ms(self, endpoint: str) -> float:
-        """Estimate when an endpoint takes a request of some gateway again.
+        """Estimate when an endpoint takes a request of any gateway again.
 
-        A caller that comes back may come to any gateway.
+        A caller may retry at any gateway.
 
         :param endpoint: name of the endpoint.
         :returns: milliseconds from now.
         """
         now_ms = self._clock.now_ms()
-        coming_back = self._rest_return(endpoint, now_ms)
-        rest_ms = coming_back.ready_in_ms(now_ms) if coming_back else 0
-        pace = self._pace(endpoint)
-        if pace is None:
+        ramp_up = self._ramp_up(endpoint, now_ms)
+        rest_ms = ramp_up.ready_in_ms(now_ms) if ramp_up else 0
+        bucket = self._token_bucket(endpoint)
+        if bucket is None:
             return rest_ms
-        own_ms = pace.ready_in_ms(now_ms)
+        own_ms = bucket.ready_in_ms(now_ms)
         limit_ms = min(own_ms, MS_PER_S / self.rate_of_all(endpoint))
         return max(rest_ms, limit_ms)
 
     def is_held(self, endpoint: str, *, spared: bool) -> bool:
-        """Tell whether an endpoint is out of the question for a call.
+        """Check if an endpoint is excluded for a call.
 
         :param endpoint: name of the endpoint.
-        :param spared: whether those with a limit are left to other calls.
-        :returns: whether it is.
+        :param spared: whether limited endpoints are reserved for other calls.
+        :returns: whether the call must not use the endpoint now.
         """
         if spared and self.is_limited(endpoint):
             return True
         return self.why_held(endpoint) is not None
 
     def forget(self, listed: Iterable[str]) -> None:
-        """Forget the paces of endpoints that are gone.
+        """Drop the state of unlisted endpoints.
 
-        :param listed: names of the endpoints that are listed.
+        :param listed: names of the listed endpoints.
         """
-        for known in (self._paces, self._returns, self._shares):
-            for name in known.keys() - set(listed):
-                known.pop(name)
+        for entries in (self._token_buckets, self._ramp_ups, self._shares):
+            for name in entries.keys() - set(listed):
+                entries.pop(name)
 
     def status(self) -> list[dict[str, Any]]:
-        """Show the limits of endpoints and this gateway's part of them.
+        """Return the limits of endpoints and the shares of this gateway.
 
-        :returns: an entry for each endpoint with a limit.
+        :returns: one entry per endpoint with a limit.
         """
         now_ms = self._clock.now_ms()
         return [
@@ -235,57 +238,57 @@
             if limit.rate is not None
         ]
 
-    def _pace(self, endpoint: str) -> Pace | None:
+    def _token_bucket(self, endpoint: str) -> Pace | None:
         limit = self._signals.limits.get(endpoint)
         if limit is None:
             return None
         now_ms = self._clock.now_ms()
-        pace = self._paces.get(endpoint)
+        bucket = self._token_buckets.get(endpoint)
         if limit.rate is None:
             return (
-                pace if self._still_returns(endpoint, limit, now_ms) else None
+                bucket if self._is_returning(endpoint, limit, now_ms) else None
             )
         share = self._share(endpoint, limit.rate)
-        if pace is None:
-            pace = Pace(rate=share, now_ms=now_ms)
-            self._paces[endpoint] = pace
-        pace.change(share, now_ms)
-        return pace
+        if bucket is None:
+            bucket = Pace(rate=share, now_ms=now_ms)
+            self._token_buckets[endpoint] = bucket
+        bucket.change(share, now_ms)
+        return bucket
 
-    def _rest_return(self, endpoint: str, now_ms: int) -> RestReturn | None:
+    def _ramp_up(self, endpoint: str, now_ms: int) -> RestReturn | None:
         until_ms = self._signals.rests.until_ms.get(endpoint)
         if until_ms is None:
             return None
-        known = self._returns.get(endpoint)
-        if known is None or known.until_ms != until_ms:
-            part = draw_part(self._name, endpoint)
-            known = RestReturn(until_ms=until_ms, part=part)
-            self._returns[endpoint] = known
-        return None if known.is_over(now_ms) else known
-
-    def _still_returns(
+        ramp_up = self._ramp_ups.get(endpoint)
+        if ramp_up is None or ramp_up.until_ms != until_ms:
+            jitter = draw_part(self._name, endpoint)
+            ramp_up = RestReturn(until_ms=until_ms, part=jitter)
+            self._ramp_ups[endpoint] = ramp_up
+        return None if ramp_up.is_over(now_ms) else ramp_up
+
+    def _is_returning(
         self,
         endpoint: str,
         limit: EndpointLimit,
         now_ms: int,
     ) -> bool:
-        part = draw_part(self._name, endpoint)
-        if now_ms < limit.heard_ms + part * _RETURN_MS:
+        jitter = draw_part(self._name, endpoint)
+        if now_ms < limit.heard_ms + jitter * _RETURN_SPREAD_MS:
             return True
-        self._paces.pop(endpoint, None)
+        self._token_buckets.pop(endpoint, None)
         return False
 
     def _share(self, endpoint: str, rate: float) -> float:
-        known = self._shares.get(endpoint)
-        if known is not None and known[0] == rate:
-            return known[1]
+        cached = self._shares.get(endpoint)
+        if cached is not None and cached[0] == rate:
+            return cached[1]
         share = self._rate_share(
             ShareTerms(
                 endpoint=endpoint,
-                rate=max(_LEAST_RATE, rate),
+                rate=max(_MIN_REQUESTS_PER_S, rate),
                 name=self._name,
                 gateways=self._gateways,
-                known=self._known,
+                known=self._gateway_count,
             ),
         )
         self._shares[endpoint] = (rate, share)
