--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -1,4 +1,4 @@
-"""Which broken connections are a crash, and who was there."""
+"""Detection of endpoint crashes and of their suspect requests."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 from wingfall.metrics import Metrics
 
-ASKED_S = 0.15
+CHECK_DONE_S = 0.15
 
 
 @pytest.fixture
 def knowledge(clock: ManualClock) -> EndpointKnowledge:
-    """Give empty tables."""
+    """Return knowledge without entries."""
     return EndpointKnowledge(clock=clock)
 
 
 @pytest.fixture
 def watch(clock: ManualClock, knowledge: EndpointKnowledge) -> CrashWatch:
-    """Give a watch that has seen nothing."""
+    """Return a crash detector without broken requests."""
     return CrashWatch(
         name='g1', clock=clock, knowledge=knowledge, metrics=Metrics()
     )
@@ -34,13 +34,13 @@
 
 @pytest.fixture
 def listener() -> socket.socket:
-    """Give a socket that takes connections until it is closed."""
+    """Provide a socket that accepts connections until it is closed."""
     with socket.create_server(('127.0.0.1', 0)) as sock:
         yield sock
 
 
 def endpoint_at(listener: socket.socket, **changes: object) -> PoolEndpoint:
-    """Describe an endpoint."""
+    """Create an endpoint at the address of a listener."""
     fields = {
         'name': 'e1',
         'pool': 'engines',
@@ -76,26 +76,28 @@
     listener: socket.socket,
     linger_s: int | None,
 ):
-    closing = gevent.spawn(close_next, listener, linger_s)
+    closing = gevent.spawn(close_next_connection, listener, linger_s)
     watch.note_broken(endpoint_at(listener), b'r', None)
     wait_until(lambda: knowledge.crashes.crashes)
     closing.join()
 
 
-def close_next(listener: socket.socket, linger_s: int | None) -> None:
-    """Take a connection and close it."""
-    taken, _peer = listener.accept()
+def close_next_connection(
+    listener: socket.socket, linger_s: int | None
+) -> None:
+    """Accept a connection and close it, with a reset if it has a linger."""
+    accepted, _peer = listener.accept()
     if linger_s is not None:
         linger = struct.pack('ii', 1, linger_s)
-        taken.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
-    taken.close()
+        accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
+    accepted.close()
 
 
 def test_lost_answer_is_no_crash(
     watch: CrashWatch, knowledge: EndpointKnowledge, listener: socket.socket
 ):
     watch.note_broken(endpoint_at(listener), b'r', None)
-    gevent.sleep(ASKED_S)
+    gevent.sleep(CHECK_DONE_S)
     assert not knowledge.crashes.crashes
 
 
@@ -106,16 +108,16 @@
     knowledge.table.put(endpoint)
     listener.close()
     watch.note_broken(endpoint, b'r', None)
-    gevent.sleep(ASKED_S)
+    gevent.sleep(CHECK_DONE_S)
     assert not knowledge.crashes.crashes
 
 
 def test_endpoint_that_has_started_again_has_crashed(
     watch: CrashWatch, knowledge: EndpointKnowledge, listener: socket.socket
 ):
-    before = endpoint_at(listener, instance='e', born_ms=1)
+    former = endpoint_at(listener, instance='e', born_ms=1)
     knowledge.lives.note(endpoint_at(listener, instance='e', born_ms=2))
-    watch.note_broken(before, b'r', None)
+    watch.note_broken(former, b'r', None)
     wait_until(lambda: knowledge.crashes.crashes)
 
 
--- a/wingfall/gateway/endpoints/__init__.py
+++ b/wingfall/gateway/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoints' side: connections, and the events of their streams."""
+"""Connections to endpoints and the event streams that arrive on them."""
--- a/wingfall/gateway/endpoints/crash_watch.py
+++ b/wingfall/gateway/endpoints/crash_watch.py
@@ -1,9 +1,9 @@
-"""Notices that an endpoint has crashed, and which requests were there.
+"""Detection of crashed endpoints and of the requests that ran on them.
 
-A connection that breaks may only be a lost answer. So once requests at an
-endpoint break, it is asked whether it still takes connections; one that refuses
-them, or closes them at once, has ended with all that ran there. One that is
-leaving by plan has not crashed.
+A broken connection may only mean a lost answer. So after requests at an
+endpoint break, the gateway opens a new connection to it. An endpoint that
+refuses the connection, or closes it at once, has ended with all requests on it.
+An endpoint that is leaving as planned has not crashed.
 """
 
 from __future__ import annotations
@@ -24,44 +24,46 @@
     from wingfall.gateway.model.pool_endpoint import PoolEndpoint
     from wingfall.metrics import Metrics
 
-# Milliseconds in which all calls at a crashed endpoint break. A way there and
-# back, and a busy turn of the loop.
-_COLLECT_MS: Final = 20
-# Milliseconds of output after which a run has not ended its endpoint: it ran
-# well that long. Many steps of an engine.
-_PROVEN_OUTPUT_MS: Final = 1000
-# Milliseconds for which a request that was left at an endpoint may still begin
-# to run there. Most endpoints drop it at once.
-_LEFT_MS: Final = 2000
-# Requests that were left lately and are remembered. Those of two seconds in
-# which all callers of a busy gateway give up.
-_MOST_LEFT: Final = 256
+# All calls at a crashed endpoint break within this time: a network round trip
+# and a busy iteration of the event loop.
+_COLLECTION_DELAY_MS: Final = 20
+# A request with at least this much output is no suspect: it ran without fault
+# for many steps of the engine.
+_MAX_SUSPECT_OUTPUT_MS: Final = 1000
+# An abandoned request may still start at its endpoint within this time. Most
+# endpoints drop it at once.
+_ABANDONED_RETENTION_MS: Final = 2000
+# Covers two seconds in which all callers of a busy gateway give up.
+_MAX_ABANDONED: Final = 256
 
 
 @final
-class _Sighting:
-    """What broke at an endpoint since it was last asked."""
+class _BrokenRequests:
+    """Requests that broke at an endpoint since its last check."""
 
-    __slots__ = ('seen_ms', 'silent', 'streaming')
+    __slots__ = ('first_broken_ms', 'silent', 'streaming')
 
-    def __init__(self, *, seen_ms: int) -> None:
-        """Start without requests."""
-        self.seen_ms = seen_ms
+    def __init__(self, *, first_broken_ms: int) -> None:
+        """Create an empty collection.
+
+        :param first_broken_ms: time of the first broken connection.
+        """
+        self.first_broken_ms = first_broken_ms
         self.silent: set[Fingerprint] = set()
         self.streaming: set[Fingerprint] = set()
 
 
 @final
 class CrashWatch:
-    """Collects the requests that break, and asks their endpoints."""
+    """Collects broken requests and checks their endpoints for a crash."""
 
     __slots__ = (
+        '_abandoned',
+        '_broken',
         '_clock',
         '_knowledge',
-        '_left',
         '_metrics',
         '_name',
-        '_sightings',
     )
 
     def __init__(
@@ -72,20 +74,20 @@
         knowledge: EndpointKnowledge,
         metrics: Metrics,
     ) -> None:
-        """Start with nothing broken.
+        """Create a detector without broken requests.
 
         :param name: name of this gateway.
-        :param clock: the time.
-        :param knowledge: where crashes are noted.
-        :param metrics: where they are counted.
+        :param clock: clock of this gateway.
+        :param knowledge: state in which crashes are recorded.
+        :param metrics: metrics in which crashes are counted.
         """
         self._name = name
         self._clock = clock
         self._knowledge = knowledge
         self._metrics = metrics
-        self._sightings: dict[str, _Sighting] = {}
-        # Requests that were given up while they waited at an endpoint.
-        self._left: list[tuple[int, str, Fingerprint]] = []
+        self._broken: dict[str, _BrokenRequests] = {}
+        # Requests abandoned before their first output: time, endpoint, request.
+        self._abandoned: list[tuple[int, str, Fingerprint]] = []
 
     def note_broken(
         self,
@@ -93,58 +95,59 @@
         fingerprint: Fingerprint,
         output_ms: int | None,
     ) -> None:
-        """Note that a connection broke before the end of an answer.
+        """Record a connection that broke before the end of an answer.
 
-        :param endpoint: the endpoint.
-        :param fingerprint: the request that was there.
-        :param output_ms: for how long its output had come, None if none had.
+        :param endpoint: endpoint of the connection.
+        :param fingerprint: request on the connection.
+        :param output_ms: milliseconds since the first output of the request,
+            None without output.
         """
-        sighting = self._sightings.get(endpoint.name)
-        if sighting is None:
-            sighting = _Sighting(seen_ms=self._clock.now_ms())
-            self._sightings[endpoint.name] = sighting
-            gevent.spawn(self._ask, endpoint)
+        broken = self._broken.get(endpoint.name)
+        if broken is None:
+            broken = _BrokenRequests(first_broken_ms=self._clock.now_ms())
+            self._broken[endpoint.name] = broken
+            gevent.spawn(self._check_endpoint, endpoint)
         if output_ms is None:
-            sighting.silent.add(fingerprint)
-        elif output_ms < _PROVEN_OUTPUT_MS:
-            sighting.streaming.add(fingerprint)
+            broken.silent.add(fingerprint)
+        elif output_ms < _MAX_SUSPECT_OUTPUT_MS:
+            broken.streaming.add(fingerprint)
 
     def note_left(
         self,
         endpoint: PoolEndpoint,
         fingerprint: Fingerprint,
     ) -> None:
-        """Note a request without output that was given up.
+        """Record a request that was abandoned before its first output.
 
-        :param endpoint: where it may still begin to run.
-        :param fingerprint: the request.
+        :param endpoint: endpoint at which the request may still start.
+        :param fingerprint: the abandoned request.
         """
-        self._left = self._recently_left()[1 - _MOST_LEFT :]
-        left = (self._clock.now_ms(), endpoint.name, fingerprint)
-        self._left.append(left)
+        self._abandoned = self._recently_abandoned()[1 - _MAX_ABANDONED :]
+        abandoned = (self._clock.now_ms(), endpoint.name, fingerprint)
+        self._abandoned.append(abandoned)
 
-    def _recently_left(self) -> list[tuple[int, str, Fingerprint]]:
-        oldest_ms = self._clock.now_ms() - _LEFT_MS
-        return [each for each in self._left if each[0] >= oldest_ms]
+    def _recently_abandoned(self) -> list[tuple[int, str, Fingerprint]]:
+        oldest_ms = self._clock.now_ms() - _ABANDONED_RETENTION_MS
+        return [each for each in self._abandoned if each[0] >= oldest_ms]
 
-    def _ask(self, endpoint: PoolEndpoint) -> None:
-        gevent.sleep(_COLLECT_MS / MS_PER_S)
+    def _check_endpoint(self, endpoint: PoolEndpoint) -> None:
+        gevent.sleep(_COLLECTION_DELAY_MS / MS_PER_S)
         crashed = self._has_crashed(endpoint)
-        sighting = self._sightings.pop(endpoint.name)
+        broken = self._broken.pop(endpoint.name)
         if not crashed:
             return
-        sighting.silent.update(
+        broken.silent.update(
             fingerprint
-            for _left_ms, name, fingerprint in self._recently_left()
+            for _abandoned_ms, name, fingerprint in self._recently_abandoned()
             if name == endpoint.name
         )
         self._knowledge.crashes.note_crash(
             EndpointCrash(
                 endpoint=endpoint.name,
-                crashed_ms=sighting.seen_ms,
+                crashed_ms=broken.first_broken_ms,
                 told_by=self._name,
-                silent=sighting.silent,
-                streaming=sighting.streaming - sighting.silent,
+                silent=broken.silent,
+                streaming=broken.streaming - broken.silent,
             ),
         )
         self._metrics.decisions.inc({'part': 'crash', 'reason': 'seen'})
@@ -153,9 +156,9 @@
             'An endpoint has crashed.',
             endpoint=endpoint.name,
             pool=endpoint.pool,
-            seen_ms=self._clock.now_ms() - sighting.seen_ms,
-            requests=sorted(each.hex() for each in sighting.silent),
-            streaming=len(sighting.streaming),
+            seen_ms=self._clock.now_ms() - broken.first_broken_ms,
+            requests=sorted(each.hex() for each in broken.silent),
+            streaming=len(broken.streaming),
         )
 
     def _has_crashed(self, endpoint: PoolEndpoint) -> bool:
