--- a/wingfall/gateway/endpoints/endpoint_connection.py
+++ b/wingfall/gateway/endpoints/endpoint_connection.py
@@ -1,7 +1,7 @@
-"""One HTTP connection from a gateway to an endpoint.
+"""HTTP connection from a gateway to an endpoint.
 
-Owns the socket and its state of HTTP for one request at a time. Errors say what
-they prove: nothing was sent, the answer is broken, or it is late.
+A connection owns its socket and the HTTP state of one request at a time. The
+type of an error says whether nothing was sent, the answer is broken or late.
 """
 
 from __future__ import annotations
@@ -22,76 +22,79 @@
     from wingfall.gateway.model.call import Headers
     from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 
-# Bytes of one read: what a socket holds.
+# Maximum bytes of one read: the content of a socket buffer.
 _READ_BYTES: Final = 65_536
-# Milliseconds of one wait for bytes, after which the clock is read again, since
-# timers stand still while the machine is suspended: a call whose time passed
-# meanwhile has its final answer by so much later.
-_WAIT_MS: Final = 1000
-# Bytes of a request that are written without a greenlet of their own: they fit
-# into the buffer of a new socket.
-_DIRECT_BYTES: Final = 4096
-# Milliseconds for a connect. Several ways there and back between availability
-# zones, so that one lost packet isn't waited for.
-_CONNECT_MS: Final = 300
-# Milliseconds that an endpoint keeps an idle connection if it doesn't tell.
-_DEFAULT_KEEP_MS: Final = 1000
-# Part of that time that is used: the endpoint closes by its own clock.
-_KEEP_PART: Final = 0.5
-# Probes in a row without an answer that end a connection. One may be lost.
-_UNANSWERED_PROBES: Final = 2
+# After each wait for bytes the clock is read again, since timers stop while the
+# machine is suspended. A call that times out during a suspension gets its final
+# answer up to this much later.
+_MAX_WAIT_MS: Final = 1000
+# Requests up to this size fit into the buffer of a new socket, so that they are
+# written without a separate greenlet.
+_MAX_INLINE_WRITE_BYTES: Final = 4096
+# Several round trips between availability zones, but short enough not to wait
+# for one lost packet.
+_CONNECT_TIMEOUT_MS: Final = 300
+# Keep-alive time of endpoints that send none.
+_DEFAULT_KEEP_ALIVE_MS: Final = 1000
+# Only this fraction of the keep-alive time is used, since the endpoint closes
+# the connection by its own clock.
+_KEEP_ALIVE_FRACTION: Final = 0.5
+# This many keep-alive probes in a row without an answer end a connection. One
+# probe may be lost.
+_MAX_UNANSWERED_PROBES: Final = 2
 
 
 class NotConnectedError(Exception):
-    """No connection came up, so nothing was sent."""
+    """The connection could not be established, so nothing was sent."""
 
 
 class HeldError(NotConnectedError):
-    """The endpoint takes no request of this gateway now; none was sent."""
+    """The endpoint takes no request of this gateway now; nothing was sent."""
 
 
 class AnswerBrokenError(Exception):
-    """The answer ended before its end, or is no answer."""
+    """The answer is incomplete or violates the protocol."""
 
 
 class AnswerLateError(Exception):
-    """Nothing came within the time that was given."""
+    """No bytes were received within the timeout."""
 
 
 @final
 class EndpointConnection:
-    """Sends one request at a time and reads its answer as events of h11."""
+    """Sends one request at a time and reads its answer as h11 events."""
 
     __slots__ = (
         '_clock',
         '_http',
         '_idle_since_ms',
-        '_keep_ms',
+        '_keep_alive_ms',
         '_socket',
         '_writer',
     )
 
     def __init__(self, *, sock: socket.socket, clock: Clock) -> None:
-        """Take over a connected socket.
+        """Create a connection that owns a socket.
 
-        :param sock: the socket.
-        :param clock: the time.
+        :param sock: connected socket.
+        :param clock: clock of this gateway.
         """
-        for option in silence_options(_UNANSWERED_PROBES):
+        for option in silence_options(_MAX_UNANSWERED_PROBES):
             sock.setsockopt(*option)
         self._socket = sock
         self._clock = clock
         self._http = h11.Connection(h11.CLIENT)
         self._writer: Greenlet | None = None
         self._idle_since_ms = 0
-        self._keep_ms = _DEFAULT_KEEP_MS
+        self._keep_alive_ms = _DEFAULT_KEEP_ALIVE_MS
 
     @property
     def is_reusable(self) -> bool:
-        """Whether the endpoint has surely kept the connection."""
+        """Whether the endpoint has certainly not closed the connection."""
         idle_ms = self._clock.now_ms() - self._idle_since_ms
-        return idle_ms < self._keep_ms * _KEEP_PART and not is_readable(
-            self._socket
+        return (
+            idle_ms < self._keep_alive_ms * _KEEP_ALIVE_FRACTION
+            and not is_readable(self._socket)
         )
 
     def send(
@@ -103,11 +106,11 @@
     ) -> None:
         """Send a request; a long body is written while the answer is read.
 
-        :param method: its method.
-        :param target: its path and query.
-        :param headers: its headers without those that frame the body.
-        :param body: its whole body.
-        :raises AnswerBrokenError: if the request can't be sent whole.
+        :param method: HTTP method.
+        :param target: path and query.
+        :param headers: headers without those that frame the body.
+        :param body: complete body.
+        :raises AnswerBrokenError: if the request can't be sent completely.
         """
         framed = list(headers)
         if body or method not in {b'GET', b'HEAD', b'DELETE', b'OPTIONS'}:
@@ -116,7 +119,7 @@
             encoded = self._encode(method, target, framed, body)
         except h11.LocalProtocolError as error:
             raise AnswerBrokenError(str(error)) from error
-        if len(encoded) > _DIRECT_BYTES:
+        if len(encoded) > _MAX_INLINE_WRITE_BYTES:
             self._writer = gevent.spawn(self._write, encoded)
         elif not self._write(encoded):
             raise AnswerBrokenError('the request could not be written')
@@ -124,25 +127,25 @@
     def receive(self, timeout_ms: int) -> h11.Event:
         """Read the next event of the answer.
 
-        :param timeout_ms: how long to wait for bytes.
+        :param timeout_ms: maximum milliseconds to wait for bytes.
         :returns: a response, data or the end of the message.
-        :raises AnswerBrokenError: if the answer ends early or is none.
-        :raises AnswerLateError: if nothing came in time.
+        :raises AnswerBrokenError: if the answer ends early or is invalid.
+        :raises AnswerLateError: if no bytes arrive in time.
         """
-        until_ms = self._clock.now_ms() + timeout_ms
+        deadline_ms = self._clock.now_ms() + timeout_ms
         event = self._next_event()
         while event is h11.NEED_DATA or _is_interim(event):
             if event is h11.NEED_DATA:
-                self._read(until_ms - self._clock.now_ms())
+                self._read(deadline_ms - self._clock.now_ms())
             event = self._next_event()
         if isinstance(event, h11.ConnectionClosed):
             raise AnswerBrokenError('closed without an answer')
         return event
 
     def release(self) -> bool:
-        """Make ready for another request after a whole answer.
+        """Prepare for another request after a complete answer.
 
-        :returns: whether the connection can take one.
+        :returns: whether the connection can take another request.
         """
         written = self._writer is None or self._writer.ready()
         trailing, closed = self._http.trailing_data
@@ -157,14 +160,14 @@
         return True
 
     def note_keep_alive(self, seconds: int) -> None:
-        """Note how long the endpoint keeps an idle connection.
+        """Record how long the endpoint keeps an idle connection.
 
-        :param seconds: what it told.
+        :param seconds: keep-alive time that the endpoint sent.
         """
-        self._keep_ms = seconds * MS_PER_S
+        self._keep_alive_ms = seconds * MS_PER_S
 
     def close(self) -> None:
-        """End the connection at once, so that the endpoint stops working."""
+        """Close the connection at once, so that the endpoint stops its work."""
         if self._writer is not None:
             self._writer.kill(block=False)
         self._socket.close()
@@ -197,13 +200,13 @@
             raise AnswerBrokenError(str(error)) from error
 
     def _read(self, timeout_ms: int) -> None:
-        until_ms = self._clock.now_ms() + timeout_ms
+        deadline_ms = self._clock.now_ms() + timeout_ms
         received = None
         while received is None:
-            left_ms = until_ms - self._clock.now_ms()
-            if left_ms <= 0:
+            remaining_ms = deadline_ms - self._clock.now_ms()
+            if remaining_ms <= 0:
                 raise AnswerLateError
-            received = self._receive_within(min(left_ms, _WAIT_MS))
+            received = self._receive_within(min(remaining_ms, _MAX_WAIT_MS))
         try:
             self._http.receive_data(received)
         except h11.RemoteProtocolError as error:
@@ -214,7 +217,7 @@
         try:
             return self._socket.recv(_READ_BYTES)
         except TimeoutError as error:
-            # One with a number is the kernel's: the machine is silent.
+            # An errno means that the kernel found the machine unresponsive.
             if error.errno:
                 raise AnswerBrokenError(str(error)) from error
             return None
@@ -231,19 +234,19 @@
     clock: Clock,
     timeout_ms: int,
 ) -> EndpointConnection:
-    """Open a connection.
+    """Open a connection to an endpoint.
 
-    :param endpoint: the endpoint.
-    :param clock: the time.
-    :param timeout_ms: how long it may take.
-    :returns: the connection.
-    :raises NotConnectedError: if none came up.
+    :param endpoint: endpoint to connect to.
+    :param clock: clock of this gateway.
+    :param timeout_ms: maximum milliseconds for the connect.
+    :returns: the new connection.
+    :raises NotConnectedError: if the connection can't be established.
     """
-    bound_ms = max(1, min(timeout_ms, _CONNECT_MS))
+    bounded_ms = max(1, min(timeout_ms, _CONNECT_TIMEOUT_MS))
     try:
         sock = socket.create_connection(
             (endpoint.host, endpoint.port),
-            timeout=bound_ms / MS_PER_S,
+            timeout=bounded_ms / MS_PER_S,
         )
     except OSError as error:
         raise NotConnectedError(str(error)) from error
--- a/wingfall/gateway/endpoints/event_stream.py
+++ b/wingfall/gateway/endpoints/event_stream.py
@@ -1,53 +1,53 @@
-"""Cuts an event stream into whole events.
+"""Splitting of an event stream into complete events.
 
-Owns the bytes of the event that has not ended; they are never passed on, so
-that a stream can go on elsewhere after its last whole event.
+The bytes of an incomplete event are never passed on, so that another endpoint
+can continue the stream after its last complete event.
 """
 
 from __future__ import annotations
 
 from typing import Final, final
 
-_END: Final = b'\n\n'
-_ID: Final = b'id:'
+_EVENT_END: Final = b'\n\n'
+_ID_FIELD: Final = b'id:'
 
 
 @final
 class EventSplitter:
-    """Holds back what isn't a whole event yet."""
+    """Buffers the bytes of an event until the event is complete."""
 
     __slots__ = ('_buffer', 'last_event_id')
 
     def __init__(self, *, last_event_id: str | None = None) -> None:
-        """Start between two events.
+        """Create a splitter with an empty buffer.
 
-        :param last_event_id: id of the last event that was passed on.
+        :param last_event_id: ID of the last event that was passed on.
         """
         self._buffer = b''
         self.last_event_id = last_event_id
 
     @property
     def torn(self) -> bool:
-        """Whether the stream stands inside an event."""
+        """Whether the buffer contains part of an event."""
         return bool(self._buffer)
 
     def feed(self, received: bytes) -> bytes:
-        """Take bytes and give the events that are whole.
+        """Add received bytes and return the events that are complete.
 
-        :param received: bytes as they came.
-        :returns: whole events, empty if there is none yet.
+        :param received: next bytes of the stream.
+        :returns: complete events, empty if there are none yet.
         """
         self._buffer += received.replace(b'\r\n', b'\n')
-        whole, end, rest = self._buffer.rpartition(_END)
-        if not end:
+        complete, separator, partial = self._buffer.rpartition(_EVENT_END)
+        if not separator:
             return b''
-        self._buffer = rest
-        self._note_ids(whole)
-        return whole + end
-
-    def _note_ids(self, whole: bytes) -> None:
-        for line in reversed(whole.split(b'\n')):
-            if line.startswith(_ID):
-                event_id = line[len(_ID) :].strip()
+        self._buffer = partial
+        self._update_last_event_id(complete)
+        return complete + separator
+
+    def _update_last_event_id(self, complete: bytes) -> None:
+        for line in reversed(complete.split(b'\n')):
+            if line.startswith(_ID_FIELD):
+                event_id = line[len(_ID_FIELD) :].strip()
                 self.last_event_id = event_id.decode('latin-1')
                 return
