--- a/wingfall/gateway/endpoints/crash_watch.py
+++ b/wingfall/gateway/endpoints/crash_watch.py
@@ -58,12 +58,12 @@
     """Collects broken requests and checks their endpoints for a crash."""
 
     __slots__ = (
-        '_abandoned',
-        '_broken',
         '_clock',
         '_knowledge',
+        '_abandoned',
         '_metrics',
         '_name',
+        '_broken',
     )
 
     def __init__(
--- a/wingfall/gateway/endpoints/kept_connections.py
+++ b/wingfall/gateway/endpoints/kept_connections.py
@@ -56,7 +56,9 @@
         withheld = self._gate.why_held(endpoint.name)
         if withheld is not None:
             raise HeldError(withheld)
-        connection = self._reuse_or_connect(endpoint, timeout_ms, kept=kept)
+        connection = self._reuse_or_connect(
+            endpoint, timeout_ms, allow_reuse=kept
+        )
         # A signal of the endpoint may have arrived during the connect.
         withheld = self._gate.take(endpoint.name)
         if withheld is not None:
@@ -95,10 +97,10 @@
         endpoint: PoolEndpoint,
         timeout_ms: int,
         *,
-        kept: bool,
+        allow_reuse: bool,
     ) -> EndpointConnection:
         idle = self._idle.get(endpoint.name, [])
-        while kept and idle:
+        while allow_reuse and idle:
             connection = idle.pop()
             if connection.is_reusable:
                 return connection
--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -45,15 +45,15 @@
 
     __slots__ = (
         '_clock',
-        '_gateway_count',
         '_gateways',
+        '_gateway_count',
         '_name',
-        '_ramp_ups',
+        '_token_buckets',
         '_rate_share',
+        '_ramp_ups',
         '_shares',
         '_signals',
         '_silent_since_ms',
-        '_token_buckets',
     )
 
     def __init__(
@@ -100,14 +100,14 @@
 
         :param heard: names of the connected peers.
         :param stopping: names of the connected peers that send no new requests.
-        :param known: number of gateways including peers that are not connected.
+        :param known: number of gateways, including unconnected peers.
         """
         now_ms = self._clock.now_ms()
         sending = {self._name, *heard}.difference(stopping)
         for removed in self._gateways - sending:
             self._silent_since_ms.setdefault(removed, now_ms)
-        for connected in sending.union(stopping):
-            self._silent_since_ms.pop(connected, None)
+        for present in sending.union(stopping):
+            self._silent_since_ms.pop(present, None)
         silent = {
             name: since_ms
             for name, since_ms in self._silent_since_ms.items()
@@ -204,7 +204,8 @@
         """Check if an endpoint is excluded for a call.
 
         :param endpoint: name of the endpoint.
-        :param spared: whether limited endpoints are reserved for other calls.
+        :param spared: whether limited endpoints are reserved for
+            other calls.
         :returns: whether the call must not use the endpoint now.
         """
         if spared and self.is_limited(endpoint):
