--- a/tests/test_object_exchange.py
+++ b/tests/test_object_exchange.py
@@ -1,4 +1,4 @@
-"""Which peer a gateway asks for objects that it lacks, and how often."""
+"""Choice of the peer to fetch objects from, and chunked transfers."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @final
 class _Gateway:
-    """One gateway's exchange, at a revision, with the peers of a test."""
+    """Object exchange of one gateway whose replica is at a revision."""
 
     def __init__(self, revision: int) -> None:
         self.clock = ManualClock()
@@ -38,183 +38,183 @@
             zone=ZONE,
         )
         if revision:
-            self.replica.apply_list(reading(revision))
+            self.replica.apply_list(store_reading(revision))
 
-    def hear(self, peer: PeerSession, revision: int) -> None:
-        """Hear a heartbeat."""
+    def receive_revision(self, peer: PeerSession, revision: int) -> None:
+        """Process the revision in a heartbeat of a peer."""
         self.exchange.compare(peer, ROUTES_KIND, revision)
 
 
-def reading(revision: int) -> StoreReading:
-    """Make what the store says at a revision."""
+def store_reading(revision: int) -> StoreReading:
+    """Return the store state with one object at a revision."""
     main = StoredObject(name='main', revision=revision, spec={})
     return StoreReading(revision=revision, objects=[main])
 
 
 def peer(name: str, zone: str = ZONE) -> PeerSession:
-    """Make a session with a peer."""
+    """Return a session with a peer."""
     return make_peer(name, zone)
 
 
-def fetches(*peers: PeerSession) -> int:
-    """Count what the peers were asked for."""
+def count_fetches(*peers: PeerSession) -> int:
+    """Count the fetches sent to the peers."""
     sent = [each for one in peers for each in one.connection.sent]
     return sum(isinstance(each, ObjectsFetch) for each in sent)
 
 
 @pytest.fixture
-def near() -> list[PeerSession]:
-    """Give three peers of the own availability zone."""
+def local_peers() -> list[PeerSession]:
+    """Return three peers of the same availability zone."""
     return [peer(f'near-{number}') for number in range(3)]
 
 
-def test_gateway_that_starts_asks_one_peer(near: list[PeerSession]):
+def test_gateway_that_starts_asks_one_peer(local_peers: list[PeerSession]):
     gateway = _Gateway(revision=0)
-    for each in near:
-        gateway.hear(each, 5)
-    assert fetches(*near) == 1
+    for each in local_peers:
+        gateway.receive_revision(each, 5)
+    assert count_fetches(*local_peers) == 1
 
 
-def test_gateway_that_is_behind_asks_one_peer(near: list[PeerSession]):
+def test_gateway_that_is_behind_asks_one_peer(local_peers: list[PeerSession]):
     gateway = _Gateway(revision=4)
     for _heartbeat in range(4):
         gateway.clock.advance(100)
-        for each in near:
-            gateway.hear(each, 5)
-    assert fetches(*near) == 1
+        for each in local_peers:
+            gateway.receive_revision(each, 5)
+    assert count_fetches(*local_peers) == 1
 
 
 def test_peer_that_does_not_answer_is_not_waited_for_long(
-    near: list[PeerSession],
+    local_peers: list[PeerSession],
 ):
     gateway = _Gateway(revision=0)
-    gateway.hear(near[0], 5)
+    gateway.receive_revision(local_peers[0], 5)
     gateway.clock.advance(1000)
-    gateway.hear(near[1], 5)
-    assert fetches(near[1]) == 1
+    gateway.receive_revision(local_peers[1], 5)
+    assert count_fetches(local_peers[1]) == 1
 
 
-def test_peer_that_ended_is_not_waited_for(near: list[PeerSession]):
+def test_peer_that_ended_is_not_waited_for(local_peers: list[PeerSession]):
     gateway = _Gateway(revision=0)
-    gateway.hear(near[0], 5)
-    gateway.exchange.forget(near[0])
-    gateway.hear(near[1], 5)
-    assert fetches(near[1]) == 1
+    gateway.receive_revision(local_peers[0], 5)
+    gateway.exchange.forget(local_peers[0])
+    gateway.receive_revision(local_peers[1], 5)
+    assert count_fetches(local_peers[1]) == 1
 
 
 def test_further_change_is_asked_for_after_an_answer(
-    near: list[PeerSession],
+    local_peers: list[PeerSession],
 ):
     gateway = _Gateway(revision=0)
-    gateway.hear(near[0], 5)
+    gateway.receive_revision(local_peers[0], 5)
     answering = _Gateway(revision=5)
-    answering.exchange.answer(near[1], near[0].connection.sent[0])
-    gateway.exchange.take(near[0], near[1].connection.sent[0])
+    answering.exchange.answer(local_peers[1], local_peers[0].connection.sent[0])
+    gateway.exchange.take(local_peers[0], local_peers[1].connection.sent[0])
     assert gateway.replica.revision == 5
     assert gateway.replica.since(0)[0].spec == {}
-    gateway.hear(near[2], 6)
+    gateway.receive_revision(local_peers[2], 6)
     gateway.clock.advance(300)
-    gateway.hear(near[2], 6)
-    assert fetches(near[2]) == 1
+    gateway.receive_revision(local_peers[2], 6)
+    assert count_fetches(local_peers[2]) == 1
 
 
-def test_peer_of_another_zone_is_asked_later(near: list[PeerSession]):
+def test_peer_of_another_zone_is_asked_later(local_peers: list[PeerSession]):
     gateway = _Gateway(revision=4)
     far = peer('far', zone='osl-b')
-    gateway.hear(far, 5)
+    gateway.receive_revision(far, 5)
     gateway.clock.advance(200)
-    gateway.hear(far, 5)
-    gateway.hear(near[0], 5)
-    assert not fetches(far)
+    gateway.receive_revision(far, 5)
+    gateway.receive_revision(local_peers[0], 5)
+    assert not count_fetches(far)
     gateway.clock.advance(100)
-    gateway.hear(far, 5)
-    assert fetches(far) == 1
+    gateway.receive_revision(far, 5)
+    assert count_fetches(far) == 1
 
 
-def long_reading(revision: int) -> StoreReading:
-    """Make a configuration that takes several chunks, however packed."""
+def long_store_reading(revision: int) -> StoreReading:
+    """Return a configuration that takes several chunks when compressed."""
     names = random.Random(revision).sample(range(10**12), 20_000)
     main = StoredObject(name='main', revision=revision, spec={'names': names})
     return StoreReading(revision=revision, objects=[main])
 
 
 @final
-class _Transfer:
-    """A gateway that is behind, and a peer that has a long configuration."""
+class _TransferSetup:
+    """A gateway that is behind, and a peer with a long configuration."""
 
     def __init__(self) -> None:
         self.behind = _Gateway(revision=4)
         self.ahead = _Gateway(revision=4)
-        self.ahead.replica.apply_changes(long_reading(5))
-        # What the one behind sends to the other, and the other way round.
-        self.there = peer('ahead')
-        self.back = peer('behind')
+        self.ahead.replica.apply_changes(long_store_reading(5))
+        # Sessions for the messages to the peer, and for its answers.
+        self.to_ahead = peer('ahead')
+        self.to_behind = peer('behind')
 
     def begin(self) -> None:
-        """Let the gateway that is behind ask."""
-        self.behind.hear(self.there, 5)
+        """Start the fetch of the gateway that is behind."""
+        self.behind.receive_revision(self.to_ahead, 5)
         self.behind.clock.advance(200)
-        self.behind.hear(self.there, 5)
-
-    def pass_chunk(self) -> ObjectsPage:
-        """Bring the last question to the peer, and its answer back."""
-        fetch = self.there.connection.sent[-1]
-        self.ahead.exchange.answer(self.back, fetch)
-        page = self.back.connection.sent[-1]
-        self.behind.exchange.take(self.there, page)
+        self.behind.receive_revision(self.to_ahead, 5)
+
+    def deliver_chunk(self) -> ObjectsPage:
+        """Deliver the last fetch to the peer, and its answer back."""
+        fetch = self.to_ahead.connection.sent[-1]
+        self.ahead.exchange.answer(self.to_behind, fetch)
+        page = self.to_behind.connection.sent[-1]
+        self.behind.exchange.take(self.to_ahead, page)
         return page
 
 
 def test_long_object_comes_in_chunks_one_after_another():
-    transfer = _Transfer()
+    transfer = _TransferSetup()
     transfer.begin()
     chunks = 0
     while transfer.behind.replica.revision < 5:
-        page = transfer.pass_chunk()
+        page = transfer.deliver_chunk()
         chunks += 1
         assert len(page.chunk) <= CHUNK_BYTES
     assert chunks >= 2
-    assert fetches(transfer.there) == chunks
+    assert count_fetches(transfer.to_ahead) == chunks
     assert transfer.behind.replica.since(4)[0].spec == (
-        long_reading(5).objects[0].spec
+        long_store_reading(5).objects[0].spec
     )
-    assert not transfer.back.outgoing
+    assert not transfer.to_behind.outgoing
 
 
 def test_transfer_that_moves_is_not_asked_for_elsewhere(
-    near: list[PeerSession],
+    local_peers: list[PeerSession],
 ):
-    transfer = _Transfer()
+    transfer = _TransferSetup()
     transfer.begin()
     for _chunk in range(2):
         transfer.behind.clock.advance(500)
-        transfer.behind.hear(near[0], 5)
-        transfer.pass_chunk()
+        transfer.behind.receive_revision(local_peers[0], 5)
+        transfer.deliver_chunk()
     transfer.behind.clock.advance(500)
-    transfer.behind.hear(near[0], 5)
-    assert not fetches(near[0])
+    transfer.behind.receive_revision(local_peers[0], 5)
+    assert not count_fetches(local_peers[0])
 
 
 def test_each_late_chunk_doubles_the_time_that_is_given(
-    near: list[PeerSession],
+    local_peers: list[PeerSession],
 ):
     gateway = _Gateway(revision=0)
     asked_ms = []
     for now_ms in range(0, 10_000, 100):
-        gateway.hear(near[0], 5)
-        if fetches(near[0]) > len(asked_ms):
+        gateway.receive_revision(local_peers[0], 5)
+        if count_fetches(local_peers[0]) > len(asked_ms):
             asked_ms.append(now_ms)
         gateway.clock.advance(100)
     assert asked_ms == [0, 600, 1800, 4200, 9000]
 
 
 def test_chunk_that_does_not_follow_is_passed_over():
-    transfer = _Transfer()
+    transfer = _TransferSetup()
     transfer.begin()
-    page = transfer.pass_chunk()
-    asked = fetches(transfer.there)
+    page = transfer.deliver_chunk()
+    asked = count_fetches(transfer.to_ahead)
     transfer.behind.exchange.take(
-        transfer.there,
+        transfer.to_ahead,
         ObjectsPage(
             kind=ROUTES_KIND,
             revision=6,
@@ -223,17 +223,17 @@
             chunk=b'of another revision',
         ),
     )
-    assert fetches(transfer.there) == asked
+    assert count_fetches(transfer.to_ahead) == asked
     while transfer.behind.replica.revision < 5:
-        transfer.pass_chunk()
+        transfer.deliver_chunk()
 
 
 def test_garbage_in_chunks_is_a_wire_error():
-    transfer = _Transfer()
+    transfer = _TransferSetup()
     transfer.begin()
     page = ObjectsPage(kind=ROUTES_KIND, revision=5, size=4, chunk=b'\0\0\0\0')
     with pytest.raises(WireError, match='can not be read'):
-        transfer.behind.exchange.take(transfer.there, page)
+        transfer.behind.exchange.take(transfer.to_ahead, page)
 
 
 def test_program_that_takes_whole_objects_only_is_given_them():
@@ -248,10 +248,10 @@
 
 
 def test_object_that_a_peer_holds_is_not_given_again():
-    # The one ahead has listed the store since; the object is the same.
+    # The peer ahead has listed the store later; the object is the same.
     ahead = _Gateway(revision=0)
     ahead.replica.apply_list(
-        StoreReading(revision=9, objects=reading(5).objects),
+        StoreReading(revision=9, objects=store_reading(5).objects),
     )
     back = peer('behind')
     ahead.exchange.answer(
--- a/wingfall/gateway/peers/objects/__init__.py
+++ b/wingfall/gateway/peers/objects/__init__.py
@@ -1,1 +1,1 @@
-"""Gives a peer the objects of the store that it lacks, and takes them."""
+"""Transfer of stored objects between peers."""
--- a/wingfall/gateway/peers/objects/object_exchange.py
+++ b/wingfall/gateway/peers/objects/object_exchange.py
@@ -1,7 +1,7 @@
-"""Gateways give each other the objects that one of them lacks.
+"""Exchange of stored objects between gateways by revision.
 
-Owns one fetch a kind, and what was packed last for peers. Relies on revisions
-of replicas; a peer that is ahead for a moment is asked.
+Owns one fetch for each kind, and the objects packed last for peers. A fetch
+starts when a peer has had a newer replica revision for a short delay.
 """
 
 from __future__ import annotations
@@ -28,33 +28,33 @@
     from wingfall.gateway.model.object_store import StoredObject
     from wingfall.gateway.peers.peer_session import PeerSession
 
-# Milliseconds that a gateway is behind before it asks a peer of its
-# availability zone, or of another: those that watch the store have heard of the
-# change by themselves then.
-_NEAR_AFTER_MS: Final = 200
-_FAR_AFTER_MS: Final = 300
+# Milliseconds for which a gateway is behind before it asks a peer of its own or
+# of another availability zone. Gateways that watch the store receive the change
+# from there within this time.
+_SAME_ZONE_DELAY_MS: Final = 200
+_OTHER_ZONE_DELAY_MS: Final = 300
 # Milliseconds for a chunk, after which another peer is asked: 64 KB take 0.1 s
-# on a link of 5 Mbit/s. The time doubles with each that is late, so that over a
-# slow link no more is under way than what it carries; with a bound for the
-# whole, 0.8 MB never came over such a link.
-_ANSWER_MS: Final = 600
-_MAX_ANSWER_MS: Final = 4800
+# on a link of 5 Mbit/s. The timeout doubles with each late chunk, so that a
+# slow link is sent no more than it carries; with one timeout for the whole,
+# 0.8 MB never arrived over such a link.
+_CHUNK_TIMEOUT_MS: Final = 600
+_MAX_CHUNK_TIMEOUT_MS: Final = 4800
 
 
 @final
 class ObjectExchange:
-    """Compares revisions with peers, asks for what is newer, and answers.
+    """Fetches newer objects from peers and answers fetches of peers.
 
-    One fetch is under way for each kind, off the path of requests: when many
-    peers are ahead, each of them would send the same objects. It goes on as
-    long as its chunks come, however long the whole of it takes.
+    Runs at most one fetch for each kind, off the request path: when many peers
+    are ahead, each of them would send the same objects. A fetch goes on as long
+    as its chunks arrive in time, whatever its total duration.
     """
 
     __slots__ = (
         '_backoffs',
         '_clock',
         '_fetches',
-        '_packed',
+        '_pack_cache',
         '_replicas',
         '_zone',
     )
@@ -66,10 +66,10 @@
         clock: Clock,
         zone: str,
     ) -> None:
-        """Exchange some kinds of object.
+        """Initialize the exchange without a fetch.
 
-        :param replicas: the copies of this gateway.
-        :param clock: the time.
+        :param replicas: object replicas of this gateway, one for each kind.
+        :param clock: clock for delays and timeouts.
         :param zone: availability zone of this gateway.
         """
         self._replicas = {replica.kind: replica for replica in replicas}
@@ -77,25 +77,27 @@
         self._zone = zone
         self._fetches: dict[str, ObjectFetch] = {}
         self._backoffs = {
-            kind: Backoff(min_ms=_ANSWER_MS, max_ms=_MAX_ANSWER_MS)
+            kind: Backoff(
+                min_ms=_CHUNK_TIMEOUT_MS, max_ms=_MAX_CHUNK_TIMEOUT_MS
+            )
             for kind in self._replicas
         }
-        # What was packed last of each kind, and of which objects.
-        self._packed: dict[str, tuple[list[tuple[str, int]], bytes]] = {}
+        # Last packed bytes of each kind, with the versions of the objects.
+        self._pack_cache: dict[str, tuple[list[tuple[str, int]], bytes]] = {}
 
     @property
     def revisions(self) -> dict[str, int]:
-        """Newest revision of each kind."""
+        """Newest revision of each kind of object."""
         return {
             kind: replica.revision for kind, replica in self._replicas.items()
         }
 
     def compare(self, session: PeerSession, kind: str, revision: int) -> None:
-        """Ask a peer that has been ahead for a moment.
+        """Fetch objects if a peer has been ahead for longer than the delay.
 
-        :param session: the peer.
+        :param session: session with the peer.
         :param kind: kind of object.
-        :param revision: the peer's newest revision of it.
+        :param revision: newest revision of this kind at the peer.
         """
         replica = self._replicas.get(kind)
         if replica is None or replica.revision >= revision:
@@ -103,13 +105,13 @@
             return
         now_ms = self._clock.now_ms()
         since_ms = session.behind_since_ms.setdefault(kind, now_ms)
-        if replica.revision and now_ms - since_ms < self._wait_ms(session):
+        if replica.revision and now_ms - since_ms < self._delay_ms(session):
             return
-        under_way = self._fetches.get(kind)
-        if under_way is not None and under_way.until_ms > now_ms:
+        active_fetch = self._fetches.get(kind)
+        if active_fetch is not None and active_fetch.until_ms > now_ms:
             return
-        self._note_silent(kind, now_ms)
-        self._ask(session, replica)
+        self._log_timeout(kind, now_ms)
+        self._start_fetch(session, replica)
         log_event(
             'peers',
             'A peer is asked for objects.',
@@ -121,9 +123,9 @@
         )
 
     def forget(self, session: PeerSession) -> None:
-        """Wait no longer for a peer that is gone.
+        """Cancel the fetches at a disconnected peer.
 
-        :param session: the peer.
+        :param session: session with the peer.
         """
         self._fetches = {
             kind: fetch
@@ -132,16 +134,16 @@
         }
 
     def answer(self, session: PeerSession, fetch: ObjectsFetch) -> None:
-        """Answer a peer that asks.
+        """Send the requested objects or chunk to a peer.
 
-        :param session: the peer.
-        :param fetch: what it asks for.
+        :param session: session with the peer.
+        :param fetch: request of the peer.
         """
         replica = self._replicas.get(fetch.kind)
         if replica is None:
             return
         if fetch.most:
-            self._answer_chunk(session, fetch, replica)
+            self._send_chunk(session, fetch, replica)
             return
         objects = [
             [each.name, each.revision, write_spec(each)]
@@ -155,16 +157,16 @@
         session.connection.send(page)
 
     def take(self, session: PeerSession, page: ObjectsPage) -> None:
-        """Take what a peer gives.
+        """Process an answer of a peer and request the next chunk.
 
-        :param session: the peer.
-        :param page: its answer, or a chunk of it.
-        :raises WireError: if the objects can't be read.
+        :param session: session with the peer.
+        :param page: whole answer, or a chunk of one.
+        :raises WireError: if the objects cannot be decoded.
         """
         if not page.size:
             objects = read_objects(page.objects)
             reading = StoreReading(revision=page.revision, objects=objects)
-            self._finish(session, page.kind, reading, 0)
+            self._apply(session, page.kind, reading, 0)
             return
         fetch = self._fetches.get(page.kind)
         if fetch is None or fetch.session is not session:
@@ -173,12 +175,14 @@
             return
         if fetch.transfer.complete:
             reading = fetch.transfer.reading()
-            self._finish(session, page.kind, reading, page.size)
+            self._apply(session, page.kind, reading, page.size)
             return
         fetch.until_ms = self._clock.now_ms() + fetch.wait_ms
         fetch.ask(page.kind)
 
-    def _ask(self, session: PeerSession, replica: ObjectReplica) -> None:
+    def _start_fetch(
+        self, session: PeerSession, replica: ObjectReplica
+    ) -> None:
         fetch = ObjectFetch(
             session=session,
             revision=replica.revision,
@@ -188,7 +192,7 @@
         self._fetches[replica.kind] = fetch
         fetch.ask(replica.kind)
 
-    def _answer_chunk(
+    def _send_chunk(
         self,
         session: PeerSession,
         fetch: ObjectsFetch,
@@ -217,17 +221,17 @@
             session.outgoing.pop(kind)
 
     def _pack(self, kind: str, objects: Sequence[StoredObject]) -> bytes:
-        # Many peers are behind by the same change, which is packed once.
+        # Many peers lack the same change, so it is packed only once.
         if not objects:
             return b''
-        named = [(each.name, each.revision) for each in objects]
-        packed_of, packed = self._packed.get(kind, ([], b''))
-        if packed_of != named:
+        versions = [(each.name, each.revision) for each in objects]
+        packed_versions, packed = self._pack_cache.get(kind, ([], b''))
+        if packed_versions != versions:
             packed = pack_objects(objects)
-            self._packed[kind] = (named, packed)
+            self._pack_cache[kind] = (versions, packed)
         return packed
 
-    def _finish(
+    def _apply(
         self,
         session: PeerSession,
         kind: str,
@@ -239,32 +243,32 @@
             return
         fetch = self._fetches.pop(kind, None)
         self._backoffs[kind].reset()
-        taken = replica.catch_up(reading)
+        applied = replica.catch_up(reading)
         asked_ms = fetch.asked_ms if fetch else None
         log_event(
             'peers',
             'A peer gave objects.',
             peer=session.name,
             kind=kind,
-            objects=taken,
+            objects=applied,
             given=len(reading.objects),
             bytes=size,
             revision=replica.revision,
             ms=None if asked_ms is None else self._clock.now_ms() - asked_ms,
         )
 
-    def _note_silent(self, kind: str, now_ms: int) -> None:
-        silent = self._fetches.get(kind)
-        if silent is not None:
+    def _log_timeout(self, kind: str, now_ms: int) -> None:
+        late = self._fetches.get(kind)
+        if late is not None:
             log_event(
                 'peers',
                 'A peer has not given objects in time.',
-                peer=silent.session.name,
+                peer=late.session.name,
                 kind=kind,
-                bytes=silent.transfer.offset,
-                ms=now_ms - silent.asked_ms,
+                bytes=late.transfer.offset,
+                ms=now_ms - late.asked_ms,
             )
 
-    def _wait_ms(self, session: PeerSession) -> int:
-        near = session.zone == self._zone
-        return _NEAR_AFTER_MS if near else _FAR_AFTER_MS
+    def _delay_ms(self, session: PeerSession) -> int:
+        is_near = session.zone == self._zone
+        return _SAME_ZONE_DELAY_MS if is_near else _OTHER_ZONE_DELAY_MS
--- a/wingfall/gateway/peers/objects/object_fetch.py
+++ b/wingfall/gateway/peers/objects/object_fetch.py
@@ -1,4 +1,4 @@
-"""A fetch of objects that is under way at one peer."""
+"""A pending fetch of objects from one peer."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @final
 class ObjectFetch:
-    """A fetch that is under way."""
+    """Pending fetch of one kind of object from a peer."""
 
     __slots__ = (
         'asked_ms',
@@ -35,12 +35,12 @@
         asked_ms: int,
         wait_ms: int,
     ) -> None:
-        """Begin a fetch; nothing is asked yet.
+        """Create a fetch without sending a request.
 
-        :param session: the peer that is asked.
-        :param revision: up to where this gateway is complete.
-        :param asked_ms: the time, by the clock.
-        :param wait_ms: milliseconds for a chunk.
+        :param session: session with the peer.
+        :param revision: revision up to which this gateway has all objects.
+        :param asked_ms: start of the fetch, in milliseconds of the clock.
+        :param wait_ms: timeout of a chunk in milliseconds.
         """
         self.session = session
         self.revision = revision
@@ -50,7 +50,7 @@
         self.transfer = IncomingTransfer()
 
     def ask(self, kind: str) -> None:
-        """Ask the peer for the next chunk.
+        """Request the next chunk from the peer.
 
         :param kind: kind of object.
         """
--- a/wingfall/gateway/peers/objects/object_transfer.py
+++ b/wingfall/gateway/peers/objects/object_transfer.py
@@ -1,4 +1,4 @@
-"""Objects on their way between two gateways, compressed and in chunks."""
+"""Compressed transfer of objects between two gateways in chunks."""
 
 from __future__ import annotations
 
@@ -16,150 +16,151 @@
 
     from wingfall.wire.transfer_messages import ObjectsPage
 
-# A heartbeat waits behind one chunk at most: 0.1 s on a link of 5 Mbit/s.
+# One chunk delays a heartbeat by at most 0.1 s on a link of 5 Mbit/s.
 CHUNK_BYTES: Final = 65_536
-# The fastest level: 4,250 routes with random names, 871 KB as JSON, take 89 KB
-# and 4 ms of processor time; level 6 would take 86 KB and 8 ms.
-_LEVEL: Final = 1
-# What a peer gives can't fill the memory: twenty times the objects of the
-# size in two years (DEVELOPING.md).
-_MOST_BYTES: Final = 67_108_864
-_UNREADABLE: Final = (ValueError, TypeError, zlib.error)
-# Stands for what an object says that can't be passed on: no reader of a kind
-# takes it for more than a text.
-_UNWRITABLE: Final = 'the object can not be written'
+# The fastest zlib level: 4,250 routes with random names, 871 KB as JSON, take
+# 89 KB and 4 ms of processor time; level 6 would take 86 KB and 8 ms.
+_ZLIB_LEVEL: Final = 1
+# Bounds the memory that an answer of a peer can take: twenty times the objects
+# at the size expected in two years (DEVELOPING.md).
+_MAX_UNPACKED_BYTES: Final = 67_108_864
+_DECODE_ERRORS: Final = (ValueError, TypeError, zlib.error)
+# Replaces a spec that cannot be encoded as JSON; the parser of each kind treats
+# it as a plain string.
+_UNENCODABLE_SPEC: Final = 'the object can not be written'
 
 
 @final
 class OutgoingTransfer:
-    """Objects packed for a peer, which asks for one chunk after another."""
+    """Packed objects that a peer requests chunk by chunk."""
 
     __slots__ = ('_packed', 'revision')
 
     def __init__(self, *, revision: int, packed: bytes) -> None:
-        """Hold what a peer will ask for.
+        """Create a transfer of packed objects.
 
-        :param revision: up to where the objects are complete.
-        :param packed: what :func:`pack_objects` made.
+        :param revision: revision up to which the objects are complete.
+        :param packed: result of :func:`pack_objects`.
         """
         self.revision = revision
         self._packed = packed
 
     @property
     def size(self) -> int:
-        """Bytes of all chunks together."""
+        """Total size of all chunks in bytes."""
         return len(self._packed)
 
     def chunk(self, offset: int, most: int) -> bytes:
-        """Cut a chunk.
+        """Return the chunk at an offset.
 
-        :param offset: where it begins, in bytes.
-        :param most: its greatest length in bytes.
-        :returns: the chunk, empty at the end.
+        :param offset: offset of the first byte.
+        :param most: maximum length in bytes.
+        :returns: the chunk, empty at the end of the packed bytes.
         """
         return self._packed[offset : offset + most]
 
 
 @final
 class IncomingTransfer:
-    """The chunks of one answer as they come."""
+    """Chunks received so far of one answer."""
 
     __slots__ = ('_received', '_revision', '_size')
 
     def __init__(self) -> None:
-        """Start with nothing received."""
+        """Create a transfer without received chunks."""
         self._received = bytearray()
         self._revision = 0
         self._size = 0
 
     @property
     def offset(self) -> int:
-        """Bytes received, where the next chunk begins."""
+        """Number of bytes received, the offset of the next chunk."""
         return len(self._received)
 
     @property
     def complete(self) -> bool:
-        """Whether the last chunk has come."""
+        """Whether all chunks have been received."""
         return bool(self._size) and len(self._received) == self._size
 
     def take(self, page: ObjectsPage) -> bool:
-        """Take a chunk.
+        """Append a chunk.
 
-        :param page: the message that carries it.
-        :returns: False for one that does not follow those before.
+        :param page: message that carries the chunk.
+        :returns: False if the chunk does not continue the transfer.
         """
         if not page.offset:
             self._received.clear()
             self._revision = page.revision
             self._size = page.size
-        known = (self._revision, self._size, len(self._received))
-        if known != (page.revision, page.size, page.offset):
+        expected = (self._revision, self._size, len(self._received))
+        if expected != (page.revision, page.size, page.offset):
             return False
         self._received += page.chunk
         return True
 
     def reading(self) -> StoreReading:
-        """Unpack the objects once all chunks have come.
+        """Unpack the objects once all chunks have been received.
 
-        :returns: the objects and up to where they are complete.
-        :raises WireError: if they can't be unpacked.
+        :returns: the objects and the revision up to which they are complete.
+        :raises WireError: if the objects cannot be unpacked.
         """
         objects = unpack_objects(bytes(self._received))
         return StoreReading(revision=self._revision, objects=objects)
 
 
 def pack_objects(objects: Sequence[StoredObject]) -> bytes:
-    """Pack objects for the wire.
+    """Encode and compress objects.
 
     :param objects: the objects, oldest first.
-    :returns: the packed bytes.
+    :returns: the compressed bytes.
     """
     entries = [[each.name, each.revision, write_spec(each)] for each in objects]
-    return zlib.compress(msgpack.packb(entries), _LEVEL)
+    return zlib.compress(msgpack.packb(entries), _ZLIB_LEVEL)
 
 
 def unpack_objects(packed: bytes) -> list[StoredObject]:
-    """Unpack objects that a peer has packed.
+    """Decompress and decode objects of a peer.
 
-    :param packed: what :func:`pack_objects` made there.
+    :param packed: result of :func:`pack_objects` at the peer.
     :returns: the objects, oldest first.
-    :raises WireError: if the bytes were not packed so, or are too many.
+    :raises WireError: if the bytes are malformed or exceed the size limit.
     """
     decompressor = zlib.decompressobj()
     try:
-        raw = decompressor.decompress(packed, _MOST_BYTES)
+        raw = decompressor.decompress(packed, _MAX_UNPACKED_BYTES)
         if not decompressor.eof:
-            raise WireError(f'objects of more than {_MOST_BYTES} bytes')
+            raise WireError(f'objects exceed {_MAX_UNPACKED_BYTES} bytes')
         entries = msgpack.unpackb(raw)
-    except _UNREADABLE as error:
+    except _DECODE_ERRORS as error:
         raise WireError(f'objects that can not be read: {error}') from error
     return read_objects(entries)
 
 
 def write_spec(stored: StoredObject) -> bytes | None:
-    """Write what an object says.
+    """Encode the spec of an object as JSON.
 
     :param stored: the object.
-    :returns: its JSON, None if it is gone.
+    :returns: the JSON, None for a deleted object.
     """
     if stored.spec is None:
         return None
     try:
         return orjson.dumps(stored.spec)
     except orjson.JSONEncodeError:
-        # Lists in lists may be read that are too deep to be written.
-        return orjson.dumps(_UNWRITABLE)
+        # The parser accepts deeper nesting of lists than the encoder.
+        return orjson.dumps(_UNENCODABLE_SPEC)
 
 
 def read_objects(entries: Any) -> list[StoredObject]:
-    """Read objects as they are on the wire.
+    """Decode the objects of a message.
 
-    :param entries: name, revision and JSON of each, None once it is gone.
-    :returns: the objects, in their order.
-    :raises WireError: if they are not written so.
+    :param entries: name, revision and JSON of each object, None as the JSON of
+        a deleted object.
+    :returns: the objects in the order of the entries.
+    :raises WireError: if an entry is malformed.
     """
     if not isinstance(entries, list):
-        raise WireError('objects that are no list')
+        raise WireError('objects are not a list')
     return [_read_object(entry) for entry in entries]
 
 
@@ -169,14 +170,14 @@
             spec = None if raw is None else _read_spec(raw)
             return StoredObject(name=name, revision=revision, spec=spec)
         case _:
-            raise WireError('an object that is not name, revision and JSON')
+            raise WireError('object entry is not name, revision and JSON')
 
 
 def _read_spec(raw: bytes) -> Any:
     try:
         spec = orjson.loads(raw)
     except orjson.JSONDecodeError as error:
-        raise WireError(f'an object that is no JSON: {error}') from error
+        raise WireError(f'object is not valid JSON: {error}') from error
     if spec is None:
-        raise WireError('an object that says nothing')
+        raise WireError('object spec is null')
     return spec
