--- a/tests/test_memory_survey.py
+++ b/tests/test_memory_survey.py
@@ -1,4 +1,4 @@
-"""What a gateway learns of engines that ran before it started."""
+"""Survey of cached prompt parts at engines that ran before the gateway."""
 
 from __future__ import annotations
 
@@ -15,33 +15,35 @@
 
 
 @pytest.fixture
-def keeping(gateway_site: GatewaySite) -> GatewaySite:
-    """Give a site with an engine that keeps a part of prompts."""
+def caching_site(gateway_site: GatewaySite) -> GatewaySite:
+    """Return a site with an engine that caches a prompt part."""
     engine = gateway_site.add_server('e1', 'engines')
     engine.held = [('p1', 500)]
     return gateway_site
 
 
-def knows(gateway: GatewayApplication) -> bool:
-    """Tell whether a gateway knows of the part."""
+def knows_part(gateway: GatewayApplication) -> bool:
+    """Check if a gateway knows the cached part."""
     return caches_part(gateway, 'e1', 'p1')
 
 
-def test_gateway_that_starts_learns_what_engines_keep(keeping: GatewaySite):
-    gateway = keeping.add_gateway()
-    wait_until(lambda: knows(gateway))
+def test_gateway_that_starts_learns_what_engines_keep(
+    caching_site: GatewaySite,
+):
+    gateway = caching_site.add_gateway()
+    wait_until(lambda: knows_part(gateway))
 
 
 def test_gateway_that_starts_asks_a_peer_what_engines_keep(
-    keeping: GatewaySite,
+    caching_site: GatewaySite,
 ):
-    first = keeping.add_gateway()
-    wait_until(lambda: knows(first))
-    keeping.servers['e1'].held = []
-    # By then it is no news any more: the second has to ask.
+    first = caching_site.add_gateway()
+    wait_until(lambda: knows_part(first))
+    caching_site.servers['e1'].held = []
+    # By then the part is no longer sent as an update: the second has to ask.
     gevent.sleep(1.5)
-    second = keeping.add_gateway()
-    wait_until(lambda: knows(second))
+    second = caching_site.add_gateway()
+    wait_until(lambda: knows_part(second))
 
 
 def test_what_an_engine_has_told_is_news_to_peers():
@@ -51,9 +53,9 @@
         for number in range(RECENT_PARTS + 10)
     )
     caches.learn('e1', parts)
-    (told,) = caches.take_unsent()
-    assert told.endpoint == 'e1'
-    assert told.parts == parts[-RECENT_PARTS:]
+    (report,) = caches.take_unsent()
+    assert report.endpoint == 'e1'
+    assert report.parts == parts[-RECENT_PARTS:]
     assert caches.find('e1').cached_tokens(parts) == len(parts)
 
 
@@ -67,16 +69,18 @@
 
 @pytest.mark.parametrize('fault', ['foreign', 'garbage', 'reset', 'hang'])
 def test_engine_that_answers_wrongly_changes_nothing(
-    keeping: GatewaySite,
+    caching_site: GatewaySite,
     fault: str,
 ):
-    engine = keeping.servers['e1']
+    engine = caching_site.servers['e1']
     engine.held_fault = fault
-    gateway = keeping.add_gateway()
+    gateway = caching_site.add_gateway()
     wait_until(lambda: engine.connections)
-    answer = keeping.ask('/stream/x', X_Token_Count='5,5', X_Prompt_Prefix='')
+    answer = caching_site.ask(
+        '/stream/x', X_Token_Count='5,5', X_Prompt_Prefix=''
+    )
     assert answer.status == 200
-    assert not knows(gateway)
+    assert not knows_part(gateway)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_parts_transfer.py
+++ b/tests/test_parts_transfer.py
@@ -1,4 +1,4 @@
-"""Whom a gateway asks what engines keep, and when."""
+"""Choice and time of requests for cached prompt parts of engines."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @final
 class _Gateway:
-    """What the transfer needs of a gateway."""
+    """A gateway with only the state that the transfer uses."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
@@ -38,21 +38,21 @@
 
 @pytest.fixture
 def gateway() -> _Gateway:
-    """Give a gateway that has just started."""
+    """Return a gateway that has just started."""
     return _Gateway()
 
 
 def peer(
     name: str, zone: str = ZONE, *, knows_caches: bool = True
 ) -> PeerSession:
-    """Make a session with a peer."""
+    """Return a session with a peer."""
     session = make_peer(name, zone)
     session.knows_caches = knows_caches
     return session
 
 
-def asked(*peers: PeerSession) -> list[str]:
-    """Name the peers that were asked."""
+def asked_peers(*peers: PeerSession) -> list[str]:
+    """Return the names of the peers that got a request."""
     return [each.name for each in peers if each.connection.sent]
 
 
@@ -60,16 +60,16 @@
     peers = [peer('new', knows_caches=False), peer('one'), peer('two')]
     gateway.transfer.step(peers)
     gateway.transfer.step(peers)
-    assert asked(*peers) == ['one']
+    assert asked_peers(*peers) == ['one']
 
 
 def test_peer_of_another_zone_is_asked_later(gateway: _Gateway):
     far = peer('far', zone='osl-b')
     gateway.transfer.step([far])
-    assert not asked(far)
+    assert not asked_peers(far)
     gateway.clock.advance(300)
     gateway.transfer.step([far])
-    assert asked(far)
+    assert asked_peers(far)
 
 
 def test_another_peer_is_asked_when_the_first_is_silent(gateway: _Gateway):
@@ -77,7 +77,7 @@
     gateway.transfer.step(peers)
     gateway.clock.advance(1000)
     gateway.transfer.step(peers)
-    assert asked(*peers) == ['one', 'two']
+    assert asked_peers(*peers) == ['one', 'two']
 
 
 def test_each_silent_peer_doubles_the_time_that_is_given(gateway: _Gateway):
@@ -105,9 +105,9 @@
 
 
 def test_what_a_peer_tells_is_known(gateway: _Gateway):
-    knowing, session = _Gateway(), peer('one')
-    knowing.caches.find('e1').note(PARTS)
-    knowing.transfer.answer(session, PartsFetch(most=10))
+    informed, session = _Gateway(), peer('one')
+    informed.caches.find('e1').note(PARTS)
+    informed.transfer.answer(session, PartsFetch(most=10))
     gateway.transfer.take(session, session.connection.sent[0])
     assert gateway.transfer.knows_caches
     assert gateway.caches.find('e1').cached_tokens(PARTS) == 500
@@ -136,11 +136,11 @@
     names = [f'gateway-{number}' for number in range(9)]
     engines = [SimpleNamespace(name=f'e{number}') for number in range(30)]
     chosen = {name: choose_engines(name, names, engines) for name in names}
-    askers = [
+    query_counts = [
         sum(engine in own for own in chosen.values()) for engine in engines
     ]
-    assert all(1 <= number <= 2 for number in askers)
-    assert sum(askers) >= 50
+    assert all(1 <= number <= 2 for number in query_counts)
+    assert sum(query_counts) >= 50
 
 
 def test_gateway_alone_asks_as_many_as_it_may():
@@ -153,7 +153,7 @@
 ):
     hashed: list[bytes] = []
 
-    def count(text: bytes) -> object:
+    def record_hash(text: bytes) -> object:
         hashed.append(text)
         return hashlib.sha256(text)
 
@@ -161,7 +161,7 @@
     engines = [SimpleNamespace(name=f'e{number}') for number in range(2000)]
     monkeypatch.setattr(
         'wingfall.gateway.peers.caches.memory_survey.hashlib',
-        SimpleNamespace(sha256=count),
+        SimpleNamespace(sha256=record_hash),
     )
     assert choose_engines(names[0], names, engines)
     assert len(hashed) < 100 * 2000 / 5
--- a/wingfall/gateway/peers/caches/__init__.py
+++ b/wingfall/gateway/peers/caches/__init__.py
@@ -1,1 +1,1 @@
-"""How a gateway learns what engines cache, from a peer or from engines."""
+"""Retrieval of cached prompt parts from a peer or from engines."""
--- a/wingfall/gateway/peers/caches/memory_survey.py
+++ b/wingfall/gateway/peers/caches/memory_survey.py
@@ -1,9 +1,9 @@
-"""Asks engines what they cache, after a start that has forgotten it.
+"""Queries engines for cached prompt parts after a gateway starts.
 
-A gateway that starts hears from a peer what each engine keeps. When all
-gateways end at once nobody knows any more, and parts of prompts would be read
-again at engines beside those that keep them. Then the gateways ask the
-engines, each of them some.
+A gateway that starts gets the cached prompt parts of each engine from a peer.
+When all gateways end at once, no gateway has them, and prompt parts would be
+prefilled again at other engines than those that cache them. Then each gateway
+queries some of the engines.
 """
 
 from __future__ import annotations
@@ -40,30 +40,30 @@
     from wingfall.gateway.model.routes import Routes
     from wingfall.gateway.peers.caches.parts_transfer import PartsTransfer
 
-# What is learned is told to peers: so many gateways ask the same engine.
-_ASKED_BY: Final = 2
-# Engines that one gateway asks. 25 gateways ask 150 engines twice.
-_MOST_ASKED: Final = 12
-# Engines are shared out by the bucket that their name falls into, so that the
-# work doesn't grow with gateways times engines.
-_BUCKETS: Final = 128
-# Milliseconds after which a peer that knows would have been heard. A dial, a
-# hello and a whole heartbeat.
-_PEERS_MS: Final = 400
-# Engines that are asked at once, and milliseconds for an answer.
-_AT_ONCE: Final = 4
-_ANSWER_MS: Final = 1000
-# Milliseconds for which the first list of endpoints is waited for.
-_FIRST_LIST_MS: Final = 3000
-# Milliseconds between two looks whether it has come.
-_POLL_MS: Final = 20
-# Bytes of an answer, so that one can't fill the memory: some 100,000 parts.
-_MAX_BYTES: Final = 4_194_304
+# Gateways that query the same engine; they report the answers to peers.
+_GATEWAYS_PER_ENGINE: Final = 2
+# Maximum engines that one gateway queries. 25 gateways ask 150 engines twice.
+_MAX_ENGINES: Final = 12
+# Engines are assigned to gateways by a hash bucket of their name, so that the
+# work does not grow with gateways times engines.
+_BUCKET_COUNT: Final = 128
+# Milliseconds after which an informed peer would have reported: a dial, a hello
+# and a whole heartbeat.
+_PEER_TIMEOUT_MS: Final = 400
+# Engines that are queried at once, and milliseconds for an answer.
+_MAX_PARALLEL_QUERIES: Final = 4
+_ANSWER_TIMEOUT_MS: Final = 1000
+# Maximum wait for the first list of endpoints in milliseconds.
+_FIRST_LIST_TIMEOUT_MS: Final = 3000
+# Milliseconds between two checks for this list.
+_POLL_INTERVAL_MS: Final = 20
+# Maximum bytes of an answer, to bound its memory: some 100,000 parts.
+_MAX_ANSWER_BYTES: Final = 4_194_304
 
 
 @final
 class MemorySurvey:
-    """Asks engines that ran before this gateway started."""
+    """Queries engines that ran before this gateway started."""
 
     __slots__ = (
         '_binding',
@@ -88,16 +88,16 @@
         transfer: PartsTransfer,
         peers: Callable[[], Iterable[str]],
     ) -> None:
-        """Set up a survey.
+        """Initialize the survey.
 
         :param name: name of this gateway.
-        :param clock: the time.
-        :param knowledge: where what is learned is kept.
-        :param binding: translates the question and the answer.
+        :param clock: clock for timeouts.
+        :param knowledge: endpoint knowledge that is updated.
+        :param binding: creates the request and parses the answer.
         :param connections: connections to engines.
-        :param routes: gives the configuration in force.
-        :param transfer: what a peer tells makes the survey needless.
-        :param peers: names of the connected peers.
+        :param routes: returns the current configuration, None before the first.
+        :param transfer: transfer from a peer, which makes a survey needless.
+        :param peers: returns the names of the connected peers.
         """
         self._name = name
         self._clock = clock
@@ -109,20 +109,20 @@
         self._peers = peers
 
     def run(self) -> None:
-        """Ask this gateway's share of the engines, each once."""
-        if self._transfer.wait(_PEERS_MS):
+        """Query this gateway's share of the engines, each once."""
+        if self._transfer.wait(_PEER_TIMEOUT_MS):
             return
         engines = self._wait_for_engines()
-        asking = GreenletPool(_AT_ONCE)
+        greenlets = GreenletPool(_MAX_PARALLEL_QUERIES)
         for engine in choose_engines(self._name, self._peers(), engines):
-            asking.spawn(self._ask, engine)
-        asking.join()
+            greenlets.spawn(self._query, engine)
+        greenlets.join()
 
     def _wait_for_engines(self) -> list[PoolEndpoint]:
         clock = self._clock
-        until_ms = clock.now_ms() + _FIRST_LIST_MS
+        until_ms = clock.now_ms() + _FIRST_LIST_TIMEOUT_MS
         while not self._engines() and clock.now_ms() < until_ms:
-            gevent.sleep(_POLL_MS / MS_PER_S)
+            gevent.sleep(_POLL_INTERVAL_MS / MS_PER_S)
         return self._engines()
 
     def _engines(self) -> list[PoolEndpoint]:
@@ -136,8 +136,8 @@
             for endpoint in self._knowledge.table.usable(pool.name)
         ]
 
-    def _ask(self, engine: PoolEndpoint) -> None:
-        answer = self._exchange(engine).bind(self._binding.read_memory)
+    def _query(self, engine: PoolEndpoint) -> None:
+        answer = self._fetch_memory(engine).bind(self._binding.read_memory)
         if isinstance(answer, Success):
             self._knowledge.caches.learn(engine.name, answer.unwrap())
         log_event(
@@ -148,16 +148,16 @@
             reason='' if isinstance(answer, Success) else answer.failure(),
         )
 
-    def _exchange(self, engine: PoolEndpoint) -> Result[bytes, str]:
+    def _fetch_memory(self, engine: PoolEndpoint) -> Result[bytes, str]:
         connections = self._connections
         connection = None
         try:
             connection = connections.take(
                 engine,
-                timeout_ms=_ANSWER_MS,
+                timeout_ms=_ANSWER_TIMEOUT_MS,
                 kept=False,
             )
-            answer = self._read(engine, connection)
+            answer = self._send_request(engine, connection)
         except (NotConnectedError, AnswerBrokenError, AnswerLateError) as error:
             if connection is not None:
                 connection.close()
@@ -165,7 +165,7 @@
         connections.give_back(engine, connection)
         return answer
 
-    def _read(
+    def _send_request(
         self,
         engine: PoolEndpoint,
         connection: EndpointConnection,
@@ -173,33 +173,33 @@
         target, headers = self._binding.memory_request(engine)
         sent_ms = self._clock.now_ms()
         connection.send(b'GET', target, headers, b'')
-        until_ms = self._clock.now_ms() + _ANSWER_MS
-        response = connection.receive(_ANSWER_MS)
-        self._note_signals(engine, response, sent_ms)
+        until_ms = self._clock.now_ms() + _ANSWER_TIMEOUT_MS
+        response = connection.receive(_ANSWER_TIMEOUT_MS)
+        self._record_signals(engine, response, sent_ms)
         body = b''
         while True:
             event = connection.receive(until_ms - self._clock.now_ms())
             if isinstance(event, h11.EndOfMessage):
                 break
             body += bytes(event.data)
-            if len(body) > _MAX_BYTES:
-                raise AnswerBrokenError('an answer beyond all bounds')
+            if len(body) > _MAX_ANSWER_BYTES:
+                raise AnswerBrokenError('answer exceeds the size limit')
         if response.status_code != http.HTTPStatus.OK:
             return Failure(f'status {response.status_code}')
         return Success(body)
 
-    def _note_signals(
+    def _record_signals(
         self,
         engine: PoolEndpoint,
         response: h11.Response,
         sent_ms: int,
     ) -> None:
-        head = self._binding.read_answer(
+        answer = self._binding.read_answer(
             response.status_code,
             response.headers.raw_items(),
         )
         signals = self._knowledge.signals
-        signals.note_answer(engine.name, head.signals, sent_ms)
+        signals.note_answer(engine.name, answer.signals, sent_ms)
 
 
 def choose_engines(
@@ -207,33 +207,35 @@
     peers: Iterable[str],
     engines: Iterable[PoolEndpoint],
 ) -> list[PoolEndpoint]:
-    """Share the engines out among the gateways, without a word.
+    """Select this gateway's share of the engines without communication.
 
     :param name: name of this gateway.
-    :param peers: names of the gateways that it hears.
-    :param engines: the engines.
-    :returns: those that this gateway asks.
+    :param peers: names of the connected peers.
+    :param engines: all engines.
+    :returns: the engines that this gateway queries.
     """
     names = {name, *peers}
-    own = {
-        bucket for bucket in range(_BUCKETS) if name in _askers(bucket, names)
+    own_buckets = {
+        bucket
+        for bucket in range(_BUCKET_COUNT)
+        if name in _choose_gateways(bucket, names)
     }
-    asked = [engine for engine in engines if _bucket(engine) in own]
-    # Gateways that share a bucket begin at different engines of it.
-    asked.sort(key=lambda engine: _digest(name, engine.name))
-    return asked[:_MOST_ASKED]
+    chosen = [engine for engine in engines if _bucket(engine) in own_buckets]
+    # Gateways that share a bucket start with different engines of the bucket.
+    chosen.sort(key=lambda engine: _digest(name, engine.name))
+    return chosen[:_MAX_ENGINES]
 
 
-def _askers(bucket: int, names: set[str]) -> list[str]:
+def _choose_gateways(bucket: int, names: set[str]) -> list[str]:
     return heapq.nsmallest(
-        _ASKED_BY,
+        _GATEWAYS_PER_ENGINE,
         names,
         key=lambda name: _digest(name, bucket),
     )
 
 
 def _bucket(engine: PoolEndpoint) -> int:
-    return int.from_bytes(_digest(engine.name)[:2]) % _BUCKETS
+    return int.from_bytes(_digest(engine.name)[:2]) % _BUCKET_COUNT
 
 
 def _digest(*names: object) -> bytes:
