--- a/tests/exchange_site.py
+++ b/tests/exchange_site.py
@@ -1,4 +1,4 @@
-"""Gateways of several zones, as far as what they tell of loads is concerned."""
+"""Simulated gateways of several zones that exchange only loads."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 
 
 def encoded_bytes(readings: list[list[object]]) -> int:
-    """Count the bytes that readings take in a message."""
+    """Return the bytes that rate samples take in a message."""
     if not readings:
         return 0
-    without, told = (
+    without, with_samples = (
         ZoneLoads(zone='a', loads=[], sent=[], whole=False, readings=each)
         for each in ([], readings)
     )
-    return len(encode(told)) - len(encode(without))
+    return len(encode(with_samples)) - len(encode(without))
 
 
 @final
 class Gateway:
-    """A gateway as far as loads are concerned."""
+    """A gateway with only the parts that exchange loads."""
 
     def __init__(self, name: str, zone: str, clock: ManualClock) -> None:
         self.name = name
@@ -60,9 +60,9 @@
         )
         self.sessions: dict[str, PeerSession] = {}
         self.alive = True
-        # When it told its zone last, and the bytes of readings that it heard.
-        self.told_ms = 0
-        self.heard_bytes = 0
+        # Time of the last report, and received bytes of rate samples.
+        self.last_report_ms = 0
+        self.received_bytes = 0
 
     def ready_ms(self, endpoint: str) -> int:
         return self.clock.now_ms()
@@ -74,17 +74,17 @@
         self.rates.take_told(engine, POOL, rates)
 
     def rate(self, engine: str) -> float:
-        """Tell how fast an engine reads, as far as this gateway knows."""
+        """Return the prefill rate of an engine as known to this gateway."""
         return self.rates.find(engine, POOL).tokens_per_ms
 
     def running(self, endpoint: str) -> int:
-        """Tell what runs at an endpoint, as far as this gateway knows."""
+        """Return the running requests of an endpoint as known here."""
         return self.load.total(endpoint).running
 
 
 @final
 class _Link:
-    """Carries messages from one gateway to another."""
+    """Delivers messages from one gateway to another."""
 
     def __init__(self, site: Site, source: Gateway, sink: Gateway) -> None:
         self._site = site
@@ -97,27 +97,27 @@
             return
         far = source.zone != sink.zone
         self._site.messages[far] += 1
-        if self._site.loses():
+        if self._site.is_lost():
             return
-        told_bytes = encoded_bytes(message.readings)
-        self._site.reading_bytes[far] += told_bytes
-        sink.heard_bytes += told_bytes
+        sample_bytes = encoded_bytes(message.readings)
+        self._site.reading_bytes[far] += sample_bytes
+        sink.received_bytes += sample_bytes
         session = sink.sessions[source.name]
         sink.exchange.take_zone(session, message, sink.sessions.values())
 
 
 @final
 class Site:
-    """Gateways that all hear each other."""
+    """Gateways that are all connected to each other."""
 
     def __init__(self, zones: dict[str, int]) -> None:
         self.clock = ManualClock()
-        # Messages of relays and bytes of readings, by whether they cross zones.
+        # Relay messages and bytes of rate samples, by whether they cross zones.
         self.messages: collections.Counter[bool] = collections.Counter()
         self.reading_bytes: collections.Counter[bool] = collections.Counter()
-        # Part of the messages that are lost.
-        self.lost_part: float = 0
-        self._draw = random.Random(7)
+        # Fraction of messages that are lost.
+        self.loss_ratio: float = 0
+        self._random = random.Random(7)
         self.gateways = [
             Gateway(f'{zone}-{number}', zone, self.clock)
             for zone, count in zones.items()
@@ -130,35 +130,35 @@
                     self._connect(one, other)
 
     def tick(self, *, whole: bool = False) -> None:
-        """Let each gateway that is alive tell the others."""
+        """Advance the clock and send the reports of all live gateways."""
         self.clock.advance(TICK_MS)
         for one in self.gateways:
             if one.alive:
-                self._tell(one, whole=whole)
+                self._report(one, whole=whole)
         for one in self.gateways:
             if one.alive:
                 one.exchange.relay(one.sessions.values(), whole=whole)
 
     def kill(self, gateway: Gateway) -> None:
-        """End a gateway; the others lose their sessions with it."""
+        """Stop a gateway and remove the sessions of the others with it."""
         gateway.alive = False
         for each in self.gateways:
             each.sessions.pop(gateway.name, None)
             each.load.forget(gateway.name)
 
     def cut_off(self, gateway: Gateway) -> None:
-        """Cut a gateway off from all other zones."""
+        """Remove all sessions between a gateway and other zones."""
         for each in self.gateways:
             if each.zone != gateway.zone:
                 each.sessions.pop(gateway.name, None)
                 gateway.sessions.pop(each.name, None)
 
-    def loses(self) -> bool:
-        """Draw whether the next message is lost."""
-        return self._draw.random() < self.lost_part
+    def is_lost(self) -> bool:
+        """Decide at random whether the next message is lost."""
+        return self._random.random() < self.loss_ratio
 
     def relay(self, zone: str) -> Gateway:
-        """Find the relay of a zone."""
+        """Return the relay of a zone."""
         sessions = {
             name: session
             for each in self.gateways
@@ -172,9 +172,9 @@
         return gateway
 
     def greet(self, one: Gateway, other: Gateway) -> None:
-        """Have a gateway tell a peer of its zone what it knows of engines."""
+        """Send all known engine speeds from a gateway to a peer."""
         known = one.exchange.known_speeds()
-        self._give(one, other, [], known, whole=False)
+        self._deliver(one, other, [], known, whole=False)
 
     def _connect(self, one: Gateway, other: Gateway) -> None:
         hello = GatewayHello(
@@ -183,13 +183,13 @@
         link = _Link(self, one, other)
         one.sessions[other.name] = PeerSession(hello=hello, connection=link)
 
-    def _tell(self, one: Gateway, *, whole: bool) -> None:
+    def _report(self, one: Gateway, *, whole: bool) -> None:
         others = [self._by_name[name] for name in one.sessions]
         near = [each for each in others if each.zone == one.zone]
         now_ms = self.clock.now_ms()
-        if now_ms - one.told_ms < interval_ms(len(near)) and not whole:
+        if now_ms - one.last_report_ms < interval_ms(len(near)) and not whole:
             return
-        one.told_ms = now_ms
+        one.last_report_ms = now_ms
         reach = one.exchange.reach(one.sessions.values())
         for each in others:
             session = each.sessions[one.name]
@@ -197,14 +197,14 @@
             session.reach = reach
         loads = one.exchange.take_loads(whole=whole)
         activity = one.exchange.take_activity()
-        told_bytes = encoded_bytes(activity.readings)
+        sample_bytes = encoded_bytes(activity.readings)
         for other in near:
-            if not self.loses():
-                self.reading_bytes[False] += told_bytes
-                other.heard_bytes += told_bytes
-                self._give(one, other, loads, activity, whole=whole)
+            if not self.is_lost():
+                self.reading_bytes[False] += sample_bytes
+                other.received_bytes += sample_bytes
+                self._deliver(one, other, loads, activity, whole=whole)
 
-    def _give(
+    def _deliver(
         self,
         one: Gateway,
         other: Gateway,
@@ -213,11 +213,11 @@
         *,
         whole: bool,
     ) -> None:
-        heard = Activity(
+        received = Activity(
             sent=activity.sent,
             outcomes=activity.outcomes,
             readings=activity.readings,
         )
         other.exchange.take_heartbeat(
-            other.sessions[one.name], loads, heard, whole=whole
+            other.sessions[one.name], loads, received, whole=whole
         )
--- a/tests/test_load_exchange.py
+++ b/tests/test_load_exchange.py
@@ -1,4 +1,4 @@
-"""What gateways of several zones know of each other's work."""
+"""Exchange of loads between gateways of several zones."""
 
 from __future__ import annotations
 
@@ -14,46 +14,46 @@
 
 @pytest.fixture
 def site() -> Site:
-    """Give three zones of four gateways, all heard once."""
+    """Return three zones of four gateways after one full exchange."""
     site = Site({'a': 4, 'b': 4, 'c': 4})
     site.tick(whole=True)
     return site
 
 
-def send(gateway: Gateway, endpoint: str = 'e1') -> object:
-    """Have a gateway send a request."""
+def start_request(gateway: Gateway, endpoint: str = 'e1') -> object:
+    """Record a request that a gateway sends to an endpoint."""
     load = EndpointLoad(running=1, reading_tokens=100)
     return gateway.load.start(endpoint, load)
 
 
-def known(site: Site, endpoint: str = 'e1') -> set[int]:
-    """Collect what the gateways know to run at an endpoint."""
+def known_counts(site: Site, endpoint: str = 'e1') -> set[int]:
+    """Return the counts of running requests known to the gateways."""
     return {each.running(endpoint) for each in site.gateways if each.alive}
 
 
 def test_all_gateways_know_all_work(site: Site):
-    entries = [send(gateway) for gateway in site.gateways]
+    entries = [start_request(gateway) for gateway in site.gateways]
     site.tick()
     site.tick()
-    assert known(site) == {12}
+    assert known_counts(site) == {12}
     for entry in entries[:5]:
         entry.end()
     site.tick()
     site.tick()
-    assert known(site) == {7}
+    assert known_counts(site) == {7}
     for entry in entries:
         entry.end()
     site.tick()
     site.tick()
-    assert known(site) == {0}
+    assert known_counts(site) == {0}
 
 
 def test_few_messages_cross_zones(site: Site):
     site.messages.clear()
     for gateway in site.gateways:
-        send(gateway)
+        start_request(gateway)
     site.tick()
-    # Each of three relays told two others.
+    # Each of three relays reported to two others.
     assert site.messages[True] == 6
 
 
@@ -67,28 +67,28 @@
     site: Site,
 ):
     for gateway in site.gateways:
-        send(gateway)
+        start_request(gateway)
     site.tick()
     site.kill(site.relay('a'))
     for _second in range(3):
         site.tick(whole=True)
-    assert known(site) == {11}
+    assert known_counts(site) == {11}
 
 
 def test_relay_that_other_zones_do_not_reach_is_replaced(site: Site):
     for gateway in site.gateways:
-        send(gateway)
+        start_request(gateway)
     cut_off = site.relay('a')
     site.cut_off(cut_off)
     for _second in range(3):
         site.tick(whole=True)
     assert site.relay('a') is not cut_off
-    assert known(site) == {12}
+    assert known_counts(site) == {12}
 
 
 def test_zone_that_is_silent_is_forgotten(site: Site):
     for gateway in site.gateways:
-        send(gateway)
+        start_request(gateway)
     site.tick()
     site.tick()
     for gateway in site.gateways:
@@ -96,7 +96,7 @@
             site.kill(gateway)
     for _tick in range(40):
         site.tick(whole=True)
-    assert known(site) == {8}
+    assert known_counts(site) == {8}
 
 
 def test_prompts_that_were_sent_are_known_in_all_zones(site: Site):
@@ -107,7 +107,7 @@
     site.tick()
     for gateway in site.gateways:
         assert gateway.caches.find('e1').cached_tokens(PARTS) == 500
-    # Each has heard of the read once.
+    # Each gateway has recorded the prefill once.
     for gateway in site.gateways[1:]:
         assert gateway.reads == [('e1', 2000)]
 
@@ -125,10 +125,10 @@
     site: Site,
     monkeypatch: pytest.MonkeyPatch,
 ):
-    told: list[tuple[str, str]] = []
+    logged: list[tuple[str, str]] = []
     monkeypatch.setattr(
         'wingfall.gateway.peers.loads.zone_relay.log_event',
-        lambda part, sentence, **fields: told.append(
+        lambda part, sentence, **fields: logged.append(
             (sentence, fields.get('relay') or fields['zone']),
         ),
     )
@@ -136,7 +136,7 @@
     site.kill(site.relay('a'))
     site.tick(whole=True)
     site.tick(whole=True)
-    assert told == [
+    assert logged == [
         ('The relay of this zone has changed.', site.relay('a').name),
     ]
 
--- a/wingfall/gateway/peers/loads/__init__.py
+++ b/wingfall/gateway/peers/loads/__init__.py
@@ -1,1 +1,1 @@
-"""What gateways tell each other of the work that they have sent."""
+"""Exchange of endpoint loads and request outcomes between gateways."""
--- a/wingfall/gateway/peers/loads/load_entries.py
+++ b/wingfall/gateway/peers/loads/load_entries.py
@@ -1,4 +1,4 @@
-"""Loads, prompts and outcomes as they stand in messages between gateways.
+"""Encoding of loads, prompts and outcomes in messages between gateways.
 
 Translates between the tables of :mod:`wingfall.gateway.knowledge` and the
 lists on the wire, whose order is fixed.
@@ -24,7 +24,7 @@
 
 @final
 class Activity:
-    """What has happened since it was last told, as it is on the wire."""
+    """Events since the last report to peers, as encoded in messages."""
 
     __slots__ = ('gaps', 'outcomes', 'readings', 'sent', 'work')
 
@@ -37,13 +37,13 @@
         work: list[list[Any]] | None = None,
         gaps: list[list[Any]] | None = None,
     ) -> None:
-        """Keep activity.
+        """Create activity from entries of a heartbeat.
 
-        :param sent: prompts that were sent, as in a heartbeat.
-        :param outcomes: how requests ended, as in a heartbeat.
-        :param readings: how fast engines read, as in a heartbeat.
-        :param work: work of customers, as in a heartbeat.
-        :param gaps: gaps of streams beside reads, as in a heartbeat.
+        :param sent: prompts sent to endpoints.
+        :param outcomes: request outcomes by endpoint.
+        :param readings: prefill rates of engines.
+        :param work: work of customers.
+        :param gaps: token gaps of streams during prefills.
         """
         self.sent = sent or []
         self.outcomes = outcomes or []
@@ -53,14 +53,20 @@
 
     @property
     def empty(self) -> bool:
-        """Whether nothing has happened."""
-        told = (self.sent, self.outcomes, self.readings, self.work, self.gaps)
-        return not any(told)
+        """Whether there are no entries."""
+        entries = (
+            self.sent,
+            self.outcomes,
+            self.readings,
+            self.work,
+            self.gaps,
+        )
+        return not any(entries)
 
     def add(self, other: Activity) -> None:
-        """Add further activity.
+        """Append the entries of other activity.
 
-        :param other: the activity.
+        :param other: activity to append.
         """
         self.sent.extend(other.sent)
         self.outcomes.extend(other.outcomes)
@@ -70,11 +76,11 @@
 
 
 def write_work(load: EndpointLoad) -> Work:
-    """Write the work at an endpoint.
+    """Encode the load of an endpoint.
 
-    :param load: the work.
-    :returns: running, reading tokens, memory, then for each longest gap
-        that streams bear its milliseconds and how many they are.
+    :param load: the load.
+    :returns: running requests, prefill tokens, used memory, then for each
+        token gap bound its milliseconds and the number of streams.
     """
     return (
         load.running,
@@ -88,96 +94,98 @@
 
 
 def write_loads(loads: dict[str, EndpointLoad]) -> list[list[Any]]:
-    """Write work by endpoint.
+    """Encode loads by endpoint.
 
-    :param loads: the work.
-    :returns: an entry for each endpoint, its name first.
+    :param loads: load of each endpoint.
+    :returns: an entry for each endpoint, starting with its name.
     """
     return [[name, *write_work(load)] for name, load in loads.items()]
 
 
 def write_sent(sent: SentPrompt) -> list[Any]:
-    """Write a prompt that was sent.
+    """Encode a sent prompt.
 
-    :param sent: the prompt and where it went.
-    :returns: the endpoint, tokens to read there, then id and tokens of the
-        shared parts.
+    :param sent: the prompt and its endpoint.
+    :returns: the endpoint, pending prefill tokens, then id and tokens of each
+        shared part.
     """
     parts = [[part.part_id, part.tokens] for part in sent.parts]
     return [sent.endpoint, sent.unread, *parts]
 
 
 def write_outcomes(outcomes: dict[str, Outcomes]) -> list[list[Any]]:
-    """Write how requests ended.
+    """Encode request outcomes.
 
-    :param outcomes: counts by endpoint.
-    :returns: for each endpoint its name, how many failed, how many not.
+    :param outcomes: outcome counts by endpoint.
+    :returns: name, failed and served requests of each endpoint.
     """
     return [[name, each.failed, each.served] for name, each in outcomes.items()]
 
 
 def read_loads(raw: Iterable[list[Any]]) -> list[tuple[str, EndpointLoad]]:
-    """Read work by endpoint.
+    """Decode loads by endpoint.
 
     :param raw: the entries of a message.
-    :returns: names of endpoints and their work.
+    :returns: name and load of each endpoint.
     """
-    return [_read_load(*entry) for entry in raw]
+    return [_decode_load(*entry) for entry in raw]
 
 
 def note_activity(activity: Activity, knowledge: EndpointKnowledge) -> None:
-    """Note what has happened at other gateways.
+    """Record the activity of other gateways.
 
-    :param activity: the activity, as on the wire.
-    :param knowledge: where it is noted.
+    :param activity: entries of a message.
+    :param knowledge: endpoint knowledge that is updated.
     """
-    _note_outcomes(activity, knowledge)
-    _note_sent(activity, knowledge)
+    _record_outcomes(activity, knowledge)
+    _record_sent_prompts(activity, knowledge)
     for engine, *rates in activity.readings:
         knowledge.take_readings(engine, rates)
     for name, *gaps_ms in activity.gaps:
         knowledge.take_gaps(name, gaps_ms)
-    # Fields that later versions add at the end are passed over.
-    for pool, customer, asked, given, *_later in activity.work:
+    # Ignores fields that later versions append.
+    for pool, customer, asked, given, *_newer_fields in activity.work:
         if asked >= 0 and given >= 0:
             knowledge.customer_work.take_from_peer(pool, customer, asked, given)
 
 
 def only_seen(readings: Iterable[list[Any]]) -> list[list[Any]]:
-    """Leave out what gateways only believe of engines.
+    """Return the entries with measured rates, without estimates.
 
-    :param readings: how fast engines read, as in a heartbeat.
-    :returns: the readings among them.
+    :param readings: prefill rates of engines, as in a heartbeat.
+    :returns: the entries without estimates.
     """
     return [entry for entry in readings if all(rate >= 0 for rate in entry[1:])]
 
 
-def _note_outcomes(activity: Activity, knowledge: EndpointKnowledge) -> None:
+def _record_outcomes(activity: Activity, knowledge: EndpointKnowledge) -> None:
     for name, failed, served in activity.outcomes:
         outcomes = Outcomes(failed=failed, served=served)
         knowledge.health.take_from_peer(name, outcomes)
 
 
-def _note_sent(activity: Activity, knowledge: EndpointKnowledge) -> None:
+def _record_sent_prompts(
+    activity: Activity, knowledge: EndpointKnowledge
+) -> None:
     for endpoint, unread, *parts in activity.sent:
         knowledge.note_prompt_sent(endpoint, unread)
-        # The peer sees the first event, but doesn't tell: an estimate.
+        # An estimate: the peer sees the first event, but does not report it.
         ready_ms = knowledge.ready_ms(endpoint) if unread else 0
         knowledge.caches.find(endpoint).note(read_parts(parts), ready_ms)
 
 
-def _read_load(
+def _decode_load(
     name: str,
     running: int,
     reading_tokens: int,
     memory_used: int,
     *streams: int,
 ) -> tuple[str, EndpointLoad]:
-    gaps, counts = streams[::2], streams[1::2]
+    gaps_ms, counts = streams[::2], streams[1::2]
     load = EndpointLoad(
         running=running,
         reading_tokens=reading_tokens,
         memory_used=memory_used,
-        streams=dict(zip(gaps, counts, strict=True)),
+        streams=dict(zip(gaps_ms, counts, strict=True)),
     )
     return name, load
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -1,10 +1,9 @@
-"""What gateways tell each other of the work that they have sent.
+"""Exchange of loads, sent prompts and request outcomes between gateways.
 
-That is what runs where, which prompts were sent, and how requests ended.
-Gateways of one availability zone tell each other directly. For other zones
-one gateway of each, its relay, sums up the work of its zone and sends it to
-the relays there, which pass it on: bytes between zones grow with the number
-of zones, not with that of gateways.
+Gateways of one availability zone report to each other directly. For other
+zones, one gateway of each zone, its relay, aggregates the load of its zone and
+sends it to the other relays, which forward it in their zones. So traffic
+between zones grows with the number of zones, not of gateways.
 """
 
 from __future__ import annotations
@@ -32,21 +31,21 @@
     from wingfall.gateway.peers.peer_session import PeerSession
     from wingfall.wire.gateway_messages import ZoneLoads
 
-# Milliseconds after which the work of a zone that isn't heard is forgotten: the
-# same as for a silent peer.
-_ZONE_SILENCE_MS: Final = 3000
+# Milliseconds after which the load of a silent zone is removed: the same as for
+# a silent peer.
+_ZONE_TIMEOUT_MS: Final = 3000
 
 
 @final
 class LoadExchange:
-    """Keeps the work that other gateways have sent, and tells of the own."""
+    """Merges loads that other gateways report and reports the own ones."""
 
     __slots__ = (
         '_clock',
         '_knowledge',
         '_relay',
         '_zone',
-        '_zones_seen_ms',
+        '_zone_seen_ms',
     )
 
     def __init__(
@@ -57,12 +56,12 @@
         clock: Clock,
         knowledge: EndpointKnowledge,
     ) -> None:
-        """Start without work.
+        """Initialize the exchange without zones.
 
         :param name: name of this gateway.
-        :param zone: its availability zone.
-        :param clock: the time.
-        :param knowledge: where work, prompts and outcomes are noted.
+        :param zone: availability zone of this gateway.
+        :param clock: clock for timeouts.
+        :param knowledge: endpoint knowledge that is reported and updated.
         """
         self._zone = zone
         self._clock = clock
@@ -73,38 +72,38 @@
             clock=clock,
             load=knowledge.load,
         )
-        self._zones_seen_ms: dict[str, int] = {}
+        self._zone_seen_ms: dict[str, int] = {}
 
     def near(self, sessions: Iterable[PeerSession]) -> list[PeerSession]:
-        """List the peers of the own availability zone.
+        """Return the peers of the own availability zone.
 
-        :param sessions: the connected peers.
-        :returns: those that are told directly.
+        :param sessions: sessions with the connected peers.
+        :returns: sessions with the peers of this zone.
         """
         return [each for each in sessions if each.zone == self._zone]
 
     def reach(self, sessions: Collection[PeerSession]) -> int:
-        """Count the other zones that this gateway hears.
+        """Count the other zones from which this gateway receives heartbeats.
 
-        :param sessions: the connected peers.
-        :returns: how many.
+        :param sessions: sessions with the connected peers.
+        :returns: number of other zones.
         """
         within_ms = seen_within_ms(len(sessions))
         oldest_ms = self._clock.now_ms() - within_ms
-        heard = {
+        reached = {
             each.zone for each in sessions if each.last_seen_ms >= oldest_ms
         }
-        return len(heard - {self._zone})
+        return len(reached - {self._zone})
 
     def own_loads(self) -> list[list[Any]]:
-        """Write all work that this gateway has sent.
+        """Encode the loads of all requests that this gateway has sent.
 
         :returns: the entries of a heartbeat.
         """
         return write_loads(self._knowledge.load.own)
 
     def known_speeds(self) -> Activity:
-        """Write what is known of engines' speed, for a gateway that starts.
+        """Encode the known prefill rates and token gaps for a new gateway.
 
         :returns: the entries of a heartbeat.
         """
@@ -114,16 +113,16 @@
         )
 
     def take_loads(self, *, whole: bool) -> list[list[Any]]:
-        """Write the work that peers have not heard of.
+        """Encode the loads that have changed since the last report.
 
-        :param whole: whether to write all there is.
+        :param whole: whether to encode all loads.
         :returns: the entries of a heartbeat.
         """
         changed = self._knowledge.load.take_changed()
         return self.own_loads() if whole else write_loads(changed)
 
     def take_activity(self) -> Activity:
-        """Write what has happened and peers have not heard of.
+        """Encode the activity since the last report.
 
         :returns: the entries of a heartbeat.
         """
@@ -147,19 +146,19 @@
         *,
         whole: bool,
     ) -> None:
-        """Take what a peer of the own zone tells of its work.
+        """Merge a heartbeat of a peer.
 
-        :param session: the peer.
-        :param loads: its work by endpoint.
-        :param activity: what has happened there.
-        :param whole: whether it has no work at other endpoints.
+        :param session: session with the peer.
+        :param loads: load entries of the heartbeat.
+        :param activity: activity since the last heartbeat of the peer.
+        :param whole: whether the peer has no load at other endpoints.
         """
         self._knowledge.load.take_from_peer(
             session.name, read_loads(loads), whole=whole
         )
         note_activity(activity, self._knowledge)
         if session.zone == self._zone:
-            # Other zones have heard the readings that a greeting sums up.
+            # Other zones have received the samples that a greeting sums up.
             activity.readings = only_seen(activity.readings)
             self._relay.note(activity)
 
@@ -169,15 +168,15 @@
         zone_loads: ZoneLoads,
         sessions: Iterable[PeerSession],
     ) -> None:
-        """Take what a relay tells of its zone, and pass it on in this one.
+        """Merge the report of a relay and forward it in this zone.
 
-        :param session: the relay, or the gateway that passed it on.
-        :param zone_loads: the work of a zone.
-        :param sessions: the connected peers.
+        :param session: session with the relay, or with the forwarding peer.
+        :param zone_loads: loads and activity of another zone.
+        :param sessions: sessions with the connected peers.
         """
         if zone_loads.zone == self._zone:
             return
-        self._zones_seen_ms[zone_loads.zone] = self._clock.now_ms()
+        self._zone_seen_ms[zone_loads.zone] = self._clock.now_ms()
         source = _source(zone_loads.zone)
         self._knowledge.load.take_from_peer(
             source,
@@ -204,19 +203,19 @@
         *,
         whole: bool,
     ) -> None:
-        """Tell other zones of this one's work, if that is this gateway's part.
+        """Send the load of this zone to other zones if this is its relay.
 
-        :param sessions: the connected peers.
-        :param whole: whether to tell of all work, not only of changes.
+        :param sessions: sessions with the connected peers.
+        :param whole: whether to send all loads, not only changes.
         """
-        self._forget_silent_zones(self._clock.now_ms())
+        self._remove_silent_zones(self._clock.now_ms())
         reach = self.reach(sessions)
         self._relay.tell(sessions, reach=reach, whole=whole)
 
-    def _forget_silent_zones(self, now_ms: int) -> None:
-        for zone, last_seen_ms in list(self._zones_seen_ms.items()):
-            if now_ms - last_seen_ms > _ZONE_SILENCE_MS:
-                self._zones_seen_ms.pop(zone)
+    def _remove_silent_zones(self, now_ms: int) -> None:
+        for zone, last_seen_ms in list(self._zone_seen_ms.items()):
+            if now_ms - last_seen_ms > _ZONE_TIMEOUT_MS:
+                self._zone_seen_ms.pop(zone)
                 self._knowledge.load.forget(_source(zone))
                 log_event(
                     'peers',
@@ -227,5 +226,5 @@
 
 
 def _source(zone: str) -> str:
-    # No gateway has a name like this one.
+    # No gateway has a name with this prefix.
     return f'zone/{zone}'
--- a/wingfall/gateway/peers/loads/relay_choice.py
+++ b/wingfall/gateway/peers/loads/relay_choice.py
@@ -1,6 +1,6 @@
-"""Which gateway speaks for its availability zone.
+"""Choice of the relay of an availability zone.
 
-All gateways of a zone come to the same answer from what they hear.
+All gateways of a zone choose the same relay from the heartbeats they receive.
 """
 
 from __future__ import annotations
@@ -19,32 +19,32 @@
     sessions: Iterable[PeerSession],
     seen_since_ms: int,
 ) -> PeerSession | None:
-    """Find the relay among the gateways of a zone.
+    """Return the relay among the gateways of a zone.
 
     :param sessions: sessions with gateways of that zone.
-    :param seen_since_ms: since when a gateway must have been heard.
-    :returns: of those that are heard and stay, and that hear the most other
-        zones, the first by rank; None without one.
+    :param seen_since_ms: minimum time of the last heartbeat of a candidate.
+    :returns: of the gateways that are seen and not leaving, the one reaching
+        the most other zones, the first by rank if several do; None without one.
     """
-    heard = [
+    candidates = [
         session
         for session in sessions
         if not session.leaving and session.last_seen_ms >= seen_since_ms
     ]
     return min(
-        heard,
+        candidates,
         key=lambda each: relay_rank(each.name, each.reach),
         default=None,
     )
 
 
 def relay_rank(name: str, reach: int) -> tuple[int, bytes]:
-    """Order the gateways of a zone by how well they can speak for it.
+    """Return the sort key of a gateway in the choice of the relay.
 
-    One that is cut off from other zones can't.
+    A gateway that is cut off from other zones cannot be their relay.
 
     :param name: name of a gateway.
-    :param reach: how many other zones it hears.
-    :returns: what it is sorted by, the relay first.
+    :param reach: number of other zones that it receives heartbeats from.
+    :returns: sort key; the relay has the lowest.
     """
     return (-reach, rank(name))
--- a/wingfall/gateway/peers/loads/zone_relay.py
+++ b/wingfall/gateway/peers/loads/zone_relay.py
@@ -1,7 +1,7 @@
-"""What the relay of an availability zone tells the relays of the others.
+"""Reports from the relay of an availability zone to the other relays.
 
-Owns whether this gateway is the relay of its zone, and what other zones have
-not heard of it.
+Owns the choice whether this gateway is the relay of its zone, and the activity
+not yet reported to other zones.
 """
 
 from __future__ import annotations
@@ -32,16 +32,16 @@
 
 @final
 class ZoneRelay:
-    """Tells other zones of the work of this one."""
+    """Sends the load of this zone to the relays of other zones."""
 
     __slots__ = (
         '_activity',
         '_clock',
-        '_last_sent',
+        '_reported_work',
         '_load',
         '_name',
-        '_relayed_ms',
-        '_relays',
+        '_last_sent_ms',
+        '_is_relay',
         '_zone',
     )
 
@@ -53,29 +53,29 @@
         clock: Clock,
         load: LoadTable,
     ) -> None:
-        """Start with nothing told.
+        """Initialize a relay without reports.
 
         :param name: name of this gateway.
-        :param zone: its availability zone.
-        :param clock: the time.
-        :param load: the work of all gateways.
+        :param zone: availability zone of this gateway.
+        :param clock: clock for report intervals.
+        :param load: loads of all gateways.
         """
         self._name = name
         self._zone = zone
         self._clock = clock
         self._load = load
-        # What other zones have not heard of.
+        # Activity that is not yet reported to other zones.
         self._activity = Activity()
-        # Work that other zones were told of, None if they know of none.
-        self._last_sent: dict[str, Work] | None = None
-        # Whether this gateway speaks for its zone, None until it has peers.
-        self._relays: bool | None = None
-        self._relayed_ms: float = float('-inf')
+        # Load last reported to other zones, None without a report.
+        self._reported_work: dict[str, Work] | None = None
+        # Whether this gateway is the relay, None before the first choice.
+        self._is_relay: bool | None = None
+        self._last_sent_ms: float = float('-inf')
 
     def note(self, activity: Activity) -> None:
-        """Note what has happened in the own zone.
+        """Record activity of the own zone.
 
-        :param activity: the activity.
+        :param activity: activity of one gateway.
         """
         self._activity.add(activity)
 
@@ -86,41 +86,45 @@
         reach: int,
         whole: bool,
     ) -> None:
-        """Tell other zones of this one's work, if that is this gateway's part.
+        """Send the load of this zone to other zones if this is its relay.
 
-        :param sessions: the connected peers.
-        :param reach: how many other zones this gateway hears.
-        :param whole: whether to tell of all work, not only of changes.
+        :param sessions: sessions with the connected peers.
+        :param reach: number of other zones that this gateway reaches.
+        :param whole: whether to send all loads, not only changes.
         """
         now_ms = self._clock.now_ms()
         near = [each for each in sessions if each.zone == self._zone]
         seen_since_ms = now_ms - seen_within_ms(len(sessions))
-        self._note_relay(
+        self._update_relay(
             find_relay(near, seen_since_ms),
             reach,
         )
-        if not self._relays:
-            self._last_sent = None
+        if not self._is_relay:
+            self._reported_work = None
             self._activity = Activity()
             return
-        rested = now_ms - self._relayed_ms >= interval_ms(len(near))
-        if not (rested or whole):
+        is_due = now_ms - self._last_sent_ms >= interval_ms(len(near))
+        if not (is_due or whole):
             return
-        self._relayed_ms = now_ms
+        self._last_sent_ms = now_ms
         zone_loads = self._make_zone_loads(near, whole=whole)
         if zone_loads is not None:
             self._send_to_relays(zone_loads, sessions, seen_since_ms)
 
-    def _note_relay(self, first: PeerSession | None, reach: int) -> None:
+    def _update_relay(self, candidate: PeerSession | None, reach: int) -> None:
         own = relay_rank(self._name, reach)
-        relays = first is None or own < relay_rank(first.name, first.reach)
-        if relays is not self._relays:
-            self._relays = relays
+        is_relay = candidate is None or own < relay_rank(
+            candidate.name, candidate.reach
+        )
+        if is_relay is not self._is_relay:
+            self._is_relay = is_relay
             log_event(
                 'peers',
                 'The relay of this zone has changed.',
                 zone=self._zone,
-                relay=self._name if relays or first is None else first.name,
+                relay=self._name
+                if is_relay or candidate is None
+                else candidate.name,
             )
 
     def _send_to_relays(
@@ -131,8 +135,8 @@
     ) -> None:
         zones = {each.zone for each in sessions} - {self._zone}
         for zone in zones:
-            there = [each for each in sessions if each.zone == zone]
-            relay = find_relay(there, seen_since_ms)
+            candidates = [each for each in sessions if each.zone == zone]
+            relay = find_relay(candidates, seen_since_ms)
             if relay is not None:
                 relay.connection.send(zone_loads)
 
@@ -142,11 +146,13 @@
         *,
         whole: bool,
     ) -> ZoneLoads | None:
-        summed = self._load.sum_with(each.name for each in near)
-        work = {name: write_work(load) for name, load in summed.items()}
-        whole = whole or self._last_sent is None
-        loads = work if whole else _changes(self._last_sent or {}, work)
-        self._last_sent = work
+        zone_totals = self._load.sum_with(each.name for each in near)
+        work = {name: write_work(load) for name, load in zone_totals.items()}
+        whole = whole or self._reported_work is None
+        loads = (
+            work if whole else _find_changes(self._reported_work or {}, work)
+        )
+        self._reported_work = work
         activity = self._activity
         self._activity = Activity()
         if not (whole or loads) and activity.empty:
@@ -163,7 +169,7 @@
         )
 
 
-def _changes(
+def _find_changes(
     known: dict[str, Work],
     work: dict[str, Work],
 ) -> dict[str, Work]:
