--- a/wingfall/gateway/peers/shared_bounds.py
+++ b/wingfall/gateway/peers/shared_bounds.py
@@ -1,4 +1,4 @@
-"""What all gateways together must keep to, divided by who there is.
+"""Limits that hold for all gateways together, divided among them.
 
 The retry budget, the requests that are blocked, and the limits of endpoints.
 """
@@ -18,7 +18,7 @@
 
 @final
 class SharedBounds:
-    """Tells the owners of shared bounds which gateways there are."""
+    """Passes the known gateways to the owners of shared limits."""
 
     __slots__ = ('_blocks', '_budget', '_gate')
 
@@ -29,10 +29,10 @@
         blocks: RequestBlocks,
         gate: SendingGate,
     ) -> None:
-        """Join the owners.
+        """Initialize with the owners of the limits.
 
         :param budget: the retry budget.
-        :param blocks: the requests that gateways must not send on.
+        :param blocks: the requests that gateways must not forward.
         :param gate: divides the limits of endpoints.
         """
         self._budget = budget
@@ -44,11 +44,11 @@
         sessions: Mapping[str, PeerSession],
         known: int,
     ) -> None:
-        """Tell which gateways there are.
+        """Update the owners with the gateways that exist.
 
         :param sessions: the sessions with connected peers by name.
-        :param known: how many other gateways may be found somewhere: those
-            that can't be reached may still send.
+        :param known: number of other known addresses: gateways that can't be
+            reached may still send.
         """
         count = max(len(sessions), known) + 1
         self._blocks.set_peers(sessions)
