--- a/tests/test_heartbeat_schedule.py
+++ b/tests/test_heartbeat_schedule.py
@@ -1,4 +1,4 @@
-"""When gateways tell each other."""
+"""Schedule of the heartbeats between gateways."""
 
 from __future__ import annotations
 
@@ -10,17 +10,19 @@
 )
 
 
-def count(peers: int, *, watching: bool = False, news: bool = True) -> int:
-    """Count the heartbeats of ten seconds in which loads always change."""
+def count_heartbeats(
+    peers: int, *, watching: bool = False, changes: bool = True
+) -> int:
+    """Return the heartbeats sent in ten seconds, with or without changes."""
     schedule = HeartbeatSchedule()
     schedule.set_peers(near=peers, peers=peers)
     sent = 0
     for now_ms in range(0, 10_000, 100):
         due = schedule.due(
             now_ms,
-            has_changes=news,
+            has_changes=changes,
             watching=watching,
-            new_objects=news,
+            new_objects=changes,
         )
         if due is not HeartbeatDue.none:
             schedule.note_sent(now_ms, due)
@@ -29,21 +31,21 @@
 
 
 def test_messages_stay_bounded_as_gateways_grow():
-    assert count(3) == 100
+    assert count_heartbeats(3) == 100
     for peers in (10, 30, 100, 300):
-        assert count(peers) * peers <= 1400
+        assert count_heartbeats(peers) * peers <= 1400
 
 
 def test_changes_of_objects_do_not_wait():
-    assert count(300, watching=True) == 100
+    assert count_heartbeats(300, watching=True) == 100
 
 
 def test_quiet_gateway_is_heard_each_second():
-    assert count(20, news=False) == 10
+    assert count_heartbeats(20, changes=False) == 10
 
 
 def test_watcher_is_heard_each_second_however_many_there_are():
-    assert count(300, news=False, watching=True) == 10
+    assert count_heartbeats(300, changes=False, watching=True) == 10
 
 
 def test_silence_is_longer_than_some_beats():
