--- a/tests/test_crash_exchange.py
+++ b/tests/test_crash_exchange.py
@@ -1,4 +1,4 @@
-"""How far and how soon gateways hear of crashes."""
+"""Exchange of crashes between gateways."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from wingfall.wire.message import build_message
 
 REQUEST = b'0123456789abcdef'
-SETTLED_MS = 500
+SETTLE_TIME_MS = 500
 
 
 def ledger_of(gateway: GatewayApplication) -> CrashLedger:
-    """Give the crashes that a gateway knows."""
+    """Return the crashes known to a gateway."""
     return gateway._state.knowledge.crashes
 
 
 def crash(endpoint: str, *, at_ms: int, told_by: str = 'g1') -> EndpointCrash:
-    """Describe a crash with one suspect."""
+    """Return a crash with one suspect request."""
     return EndpointCrash(
         endpoint=endpoint,
         crashed_ms=at_ms,
@@ -37,7 +37,7 @@
 
 
 def heartbeat(crashes: int = 0, suspects: int = 1) -> GatewayHeartbeat:
-    """Make a heartbeat with news of some crashes."""
+    """Return a heartbeat that carries some crashes."""
     silent = [b'%016d' % number for number in range(suspects)]
     return GatewayHeartbeat(
         revisions={},
@@ -85,9 +85,9 @@
     first = gateway_site.start_gateway()
     second = gateway_site.start_gateway()
     wait_until(lambda: second._peers.names)
-    # As if the one that saw it had no session with the other.
-    heard = crash('e1', at_ms=first._clock.now_ms(), told_by='gone')
-    ledger_of(first).take_crash(heard)
+    # The gateway that observed the crash has no session with the second one.
+    received = crash('e1', at_ms=first._clock.now_ms(), told_by='gone')
+    ledger_of(first).take_crash(received)
     wait_until(lambda: ledger_of(second).crashes)
 
 
@@ -121,14 +121,14 @@
 
 
 def session() -> PeerSession:
-    """Give a session with a peer."""
+    """Return a session with a peer."""
     hello = GatewayHello(name='g2', address='', known=[])
     return PeerSession(hello=hello, connection=FakeConnection())
 
 
 @pytest.fixture
 def exchange(clock: ManualClock) -> CrashExchange:
-    """Give the exchange of a gateway that knows one crash."""
+    """Return the exchange of a gateway that knows one crash."""
     ledger = CrashLedger(clock=clock)
     ledger.note_crash(crash('e1', at_ms=clock.now_ms()))
     return CrashExchange(clock=clock, ledger=ledger)
@@ -137,66 +137,66 @@
 def test_peer_that_knows_the_same_is_told_nothing(
     exchange: CrashExchange, clock: ManualClock
 ):
-    clock.advance(SETTLED_MS)
-    assert exchange.answer(session(), exchange.recent_sum, 1).empty
-    assert not exchange.answer(session(), 0, 1).empty
+    clock.advance(SETTLE_TIME_MS)
+    assert exchange.answer_digest(session(), exchange.recent_sum, 1).is_empty
+    assert not exchange.answer_digest(session(), 0, 1).is_empty
 
 
 def test_peer_of_the_last_version_is_told_nothing_again(
     exchange: CrashExchange, clock: ManualClock
 ):
-    clock.advance(SETTLED_MS)
-    assert exchange.answer(session(), -1, 1).empty
+    clock.advance(SETTLE_TIME_MS)
+    assert exchange.answer_digest(session(), -1, 1).is_empty
 
 
 def test_news_that_are_on_their_way_are_not_told_again(
     exchange: CrashExchange,
 ):
-    assert exchange.answer(session(), 0, 1).empty
+    assert exchange.answer_digest(session(), 0, 1).is_empty
 
 
 def test_peer_without_room_is_not_told_at_each_heartbeat(
     exchange: CrashExchange, clock: ManualClock
 ):
     peer = session()
-    clock.advance(SETTLED_MS)
-    told = []
+    clock.advance(SETTLE_TIME_MS)
+    resends = []
     for _heartbeat in range(100):
-        told.append(not exchange.answer(peer, 0, 1).empty)
+        resends.append(not exchange.answer_digest(peer, 0, 1).is_empty)
         clock.advance(100)
-    assert told.count(True) == 4
+    assert resends.count(True) == 4
 
 
 def test_few_of_many_gateways_tell_again(
     exchange: CrashExchange, clock: ManualClock
 ):
-    clock.advance(SETTLED_MS)
-    # Four are drawn on the average; by chance it may be none.
+    clock.advance(SETTLE_TIME_MS)
+    # Four gateways resend on average; at random, none may.
     rounds = 50
-    telling = [
-        exchange.answer(session(), 0, 297).empty
+    are_empty = [
+        exchange.answer_digest(session(), 0, 297).is_empty
         for _peer in range(297 * rounds)
     ]
-    assert 2 * rounds < telling.count(False) < 6 * rounds
+    assert 2 * rounds < are_empty.count(False) < 6 * rounds
 
 
 def test_last_version_and_this_one_read_each_other():
     sent = heartbeat(3)
-    # Without crashes, and without all that came after them.
+    # The older version lacks the crashes and all fields after them.
     before = sent.fields()[: 1 + sent.__slots__.index('crashes')]
     read = build_message(before)
     assert read.crash_sum == -1
     assert not read.crashes
-    # Fields that a program doesn't know are passed over.
+    # Unknown fields are ignored.
     more = build_message([*sent.fields(), 'of a later version'])
     assert more.fields() == sent.fields()
 
 
 @pytest.mark.parametrize(
-    ('crashes', 'most_bytes'),
+    ('crashes', 'max_bytes'),
     # One blocked request has three crashes.
     [(0, 4), (3, 200), (300, 20_000)],
 )
-def test_news_in_a_heartbeat_are_short(crashes: int, most_bytes: int):
+def test_news_in_a_heartbeat_are_short(crashes: int, max_bytes: int):
     without = len(encode(heartbeat())) - 3
-    assert len(encode(heartbeat(crashes))) - without <= most_bytes
+    assert len(encode(heartbeat(crashes))) - without <= max_bytes
--- a/wingfall/gateway/peers/crash_exchange.py
+++ b/wingfall/gateway/peers/crash_exchange.py
@@ -1,10 +1,10 @@
-"""What gateways tell each other of endpoints that crashed.
+"""Exchange of endpoint crashes between gateways.
 
-Each gateway tells all others at once of what it has seen, in every availability
-zone and without a relay, so that a request that ends endpoints is blocked
-everywhere within tenths of a second. A new session begins with all that is
-known. All heartbeats carry one number for what is known of the last minute; a
-peer that knows less is told again, also by gateways that only heard of it.
+Each gateway immediately sends the crashes that it observes to all others, in
+every availability zone and without a relay, so that a request that crashes
+endpoints is blocked everywhere within tenths of a second. A new session begins
+with all known entries. All heartbeats carry a digest of the last minute; after
+a mismatch the entries are resent, also by gateways that only received them.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from wingfall.gateway.model.endpoint_crash import EndpointCrash
 from wingfall.gateway.model.fingerprint import FINGERPRINT_BYTES
-from wingfall.gateway.peers.news_repair import NewsRepair
+from wingfall.gateway.peers.news_repair import AntiEntropy
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
@@ -25,8 +25,8 @@
 
 
 @final
-class CrashNews:
-    """Crashes and good answers as they stand in a heartbeat."""
+class CrashUpdates:
+    """Crashes and successful requests as encoded in a heartbeat."""
 
     __slots__ = ('crashes', 'served')
 
@@ -36,125 +36,125 @@
         crashes: list[list[Any]] | None = None,
         served: list[list[Any]] | None = None,
     ) -> None:
-        """Keep news.
+        """Create updates.
 
         :param crashes: for each crash the endpoint, its age in milliseconds,
-            the gateway that told first, requests without output, requests
-            whose output had begun.
-        :param served: requests that were answered well, and how long ago.
+            the gateway that reported it first, requests without output,
+            requests whose output had begun.
+        :param served: requests that succeeded, and their ages in milliseconds.
         """
         self.crashes = crashes or []
         self.served = served or []
 
     @property
-    def empty(self) -> bool:
-        """Whether there is nothing to tell."""
+    def is_empty(self) -> bool:
+        """Whether there is nothing to send."""
         return not (self.crashes or self.served)
 
 
 @final
 class CrashExchange:
-    """Tells of crashes, and takes what peers tell."""
+    """Sends crashes to peers and merges theirs."""
 
-    __slots__ = ('_clock', '_ledger', '_repair')
+    __slots__ = ('_clock', '_ledger', '_anti_entropy')
 
     def __init__(self, *, clock: Clock, ledger: CrashLedger) -> None:
-        """Start with nothing told.
+        """Initialize the exchange.
 
-        :param clock: the time.
-        :param ledger: the crashes that are known here.
+        :param clock: source of the current time.
+        :param ledger: the crashes known to this gateway.
         """
         self._clock = clock
         self._ledger = ledger
-        self._repair = NewsRepair(clock=clock, state=ledger.revision)
+        self._anti_entropy = AntiEntropy(clock=clock, state=ledger.revision)
 
     @property
     def recent_sum(self) -> int:
-        """The number that stands for the crashes of the last minute."""
+        """The digest of the crashes of the last minute."""
         return self._ledger.recent_sum
 
     def wait(self) -> None:
-        """Wait until there is something that no peer has heard from here."""
+        """Wait for entries that this gateway has not sent."""
         self._ledger.news.wait()
 
-    def take_untold(self) -> CrashNews:
-        """Take what no peer has heard from here.
+    def take_untold(self) -> CrashUpdates:
+        """Return and clear the entries that were not sent yet.
 
-        :returns: the news.
+        :returns: the updates.
         """
         self._ledger.news.clear()
-        return self._write(
+        return self._encode(
             self._ledger.take_untold_crashes(),
             self._ledger.take_untold_served(),
         )
 
-    def write_all(self) -> CrashNews:
-        """Write all that is known, for a new session.
+    def write_all(self) -> CrashUpdates:
+        """Return all known entries, for a new session.
 
-        :returns: the news.
+        :returns: the updates.
         """
-        return self._write(self._ledger.crashes, self._ledger.served_ms)
+        return self._encode(self._ledger.crashes, self._ledger.served_ms)
 
-    def answer(
+    def answer_digest(
         self,
         session: PeerSession,
-        recent_sum: int,
+        peer_digest: int,
         sessions: int,
-    ) -> CrashNews:
-        """Write what a peer may have missed.
+    ) -> CrashUpdates:
+        """Return the entries that a peer may have missed.
 
         :param session: the session with the peer.
-        :param recent_sum: the number that it told, negative if it told none.
-        :param sessions: how many peers see what it told.
-        :returns: the news, empty if it has missed nothing or others tell it.
+        :param peer_digest: digest of the peer, negative if it sent none.
+        :param sessions: number of gateways that receive the digest.
+        :returns: the updates, empty if none were missed or others resend.
         """
-        self._repair.note_state(self._ledger.revision)
-        if not self._repair.is_due(
-            told_sum=recent_sum,
-            own_sum=self._ledger.recent_sum,
-            told_ms=session.crashes_told_ms,
+        self._anti_entropy.note_state(self._ledger.revision)
+        if not self._anti_entropy.is_due(
+            peer_digest=peer_digest,
+            own_digest=self._ledger.recent_sum,
+            resent_ms=session.crashes_told_ms,
             sessions=sessions,
         ):
-            return CrashNews()
+            return CrashUpdates()
         session.crashes_told_ms = self._clock.now_ms()
-        return self._write(self._ledger.recent(), self._ledger.served_ms)
+        return self._encode(self._ledger.recent(), self._ledger.served_ms)
 
     def forget(self, session: PeerSession) -> None:
-        """Note the end of a session.
+        """Record the end of a session.
 
-        :param session: the session; unless its peer was stopping, the peer
-            may have had requests at crashes that it could not tell of.
+        :param session: the session that ended; unless its peer was stopping,
+            the peer may have had requests at crashes that it could not report.
         """
         if not session.leaving:
             self._ledger.note_gateway_lost(session.name)
 
-    def take(self, news: CrashNews) -> None:
-        """Take what a peer tells.
+    def merge(self, updates: CrashUpdates) -> None:
+        """Merge the updates of a peer.
 
-        :param news: the news.
+        :param updates: the updates.
         """
         now_ms = self._clock.now_ms()
-        for endpoint, age_ms, told_by, silent, streaming in news.crashes:
+        for endpoint, age_ms, told_by, silent, streaming in updates.crashes:
             self._ledger.take_crash(
                 EndpointCrash(
                     endpoint=endpoint,
                     crashed_ms=now_ms - age_ms,
                     told_by=told_by,
-                    silent=_read_fingerprints(silent),
-                    streaming=_read_fingerprints(streaming),
+                    silent=_decode_fingerprints(silent),
+                    streaming=_decode_fingerprints(streaming),
                 ),
             )
-        for fingerprint, age_ms in news.served:
+        for fingerprint, age_ms in updates.served:
             self._ledger.take_served(fingerprint, now_ms - age_ms)
-        self._repair.note_state(self._ledger.revision)
+        self._anti_entropy.note_state(self._ledger.revision)
 
-    def _write(
+    def _encode(
         self,
         crashes: Iterable[EndpointCrash],
         served_ms: Mapping[Fingerprint, int],
-    ) -> CrashNews:
+    ) -> CrashUpdates:
         now_ms = self._clock.now_ms()
-        return CrashNews(
+        return CrashUpdates(
             crashes=[
                 [
                     crash.endpoint,
@@ -172,5 +172,5 @@
         )
 
 
-def _read_fingerprints(raw: Iterable[bytes]) -> set[Fingerprint]:
-    return {each for each in raw if len(each) == FINGERPRINT_BYTES}
+def _decode_fingerprints(encoded: Iterable[bytes]) -> set[Fingerprint]:
+    return {each for each in encoded if len(each) == FINGERPRINT_BYTES}
--- a/wingfall/gateway/peers/heartbeat_writer.py
+++ b/wingfall/gateway/peers/heartbeat_writer.py
@@ -1,6 +1,6 @@
-"""Writes heartbeats: where this gateway stands, beside what is told in each.
+"""Builds heartbeats: the state of this gateway and the content of each.
 
-Owns nothing; asks each part for its figure as a heartbeat is written.
+Holds no state; reads the fields of each part when a heartbeat is built.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Any, Callable, final
 
 from wingfall.gateway.peers.loads.load_entries import Activity
-from wingfall.gateway.peers.news_exchange import PeerNews
+from wingfall.gateway.peers.news_exchange import PeerUpdates
 from wingfall.wire.gateway_messages import GatewayHeartbeat
 
 if TYPE_CHECKING:
@@ -16,22 +16,22 @@
 
     from wingfall.gateway.peers.caches.parts_transfer import PartsTransfer
     from wingfall.gateway.peers.loads.load_exchange import LoadExchange
-    from wingfall.gateway.peers.news_exchange import NewsExchange
+    from wingfall.gateway.peers.news_exchange import UpdateExchange
     from wingfall.gateway.peers.objects.object_exchange import ObjectExchange
     from wingfall.gateway.peers.peer_session import PeerSession
 
 
 @final
 class HeartbeatWriter:
-    """Writes the heartbeats of one gateway."""
+    """Builds the heartbeats of one gateway."""
 
     __slots__ = (
         '_exchange',
         '_loads',
-        '_news',
+        '_updates',
         '_sessions',
         '_transfer',
-        '_watches',
+        '_is_watching',
     )
 
     def __init__(
@@ -41,24 +41,24 @@
         exchange: ObjectExchange,
         transfer: PartsTransfer,
         loads: LoadExchange,
-        news: NewsExchange,
+        updates: UpdateExchange,
         watches: Callable[[], bool],
     ) -> None:
-        """Join what heartbeats tell of.
+        """Initialize the writer with the sources of its fields.
 
-        :param sessions: the connected peers, as they are at each time.
-        :param exchange: tells the revisions of objects.
-        :param transfer: tells whether it is known what engines keep.
-        :param loads: tells how many other zones are heard.
-        :param news: tells sums of what is known of crashes and signals.
-        :param watches: whether this gateway hears the store's changes.
+        :param sessions: live view of the sessions with connected peers.
+        :param exchange: provides the revisions of objects.
+        :param transfer: provides whether the prefix caches are known.
+        :param loads: provides the number of other zones received.
+        :param updates: provides the digests of crashes and signals.
+        :param watches: returns whether this gateway watches the store.
         """
         self._sessions = sessions
         self._exchange = exchange
         self._transfer = transfer
         self._loads = loads
-        self._news = news
-        self._watches = watches
+        self._updates = updates
+        self._is_watching = watches
 
     def write(
         self,
@@ -67,20 +67,20 @@
         whole: bool,
         loads: list[list[Any]] | None = None,
         activity: Activity | None = None,
-        news: PeerNews | None = None,
+        updates: PeerUpdates | None = None,
         duties: list[Any] | None = None,
     ) -> GatewayHeartbeat:
-        """Write a heartbeat.
+        """Build a heartbeat.
 
         :param leaving: whether this gateway is stopping.
-        :param whole: whether the loads are all that there are.
+        :param whole: whether the loads are complete.
         :param loads: work by endpoint.
-        :param activity: what has happened since it was last told.
-        :param news: crashes and what endpoints say of themselves.
-        :param duties: what the duties need.
+        :param activity: activity since the last report.
+        :param updates: updates on crashes and signals of endpoints.
+        :param duties: entries of the duties.
         :returns: the heartbeat.
         """
-        activity, news = activity or Activity(), news or PeerNews()
+        activity, updates = activity or Activity(), updates or PeerUpdates()
         return GatewayHeartbeat(
             revisions=self._exchange.revisions,
             loads=loads or [],
@@ -88,16 +88,16 @@
             outcomes=activity.outcomes,
             leaving=leaving,
             whole=whole,
-            watching=self._watches(),
+            watching=self._is_watching(),
             knows_caches=self._transfer.knows_caches,
             reach=self._loads.reach(self._sessions),
-            crashes=news.crashes.crashes,
-            served=news.crashes.served,
-            crash_sum=self._news.crash_sum,
+            crashes=updates.crashes.crashes,
+            served=updates.crashes.served,
+            crash_sum=self._updates.crash_digest,
             duties=duties,
-            limits=news.signals.limits,
-            leavings=news.signals.leavings,
-            signal_sum=self._news.signal_sum,
+            limits=updates.signals.limits,
+            leavings=updates.signals.leavings,
+            signal_sum=self._updates.signal_digest,
             readings=activity.readings,
             work=activity.work,
             gaps=activity.gaps,
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -1,7 +1,7 @@
-"""What a gateway tells its peers some times a second, and hears of them.
+"""Heartbeats that a gateway exchanges with its peers some times a second.
 
-Owns when to tell; gives each message to the part that handles it: loads,
-objects, or parts that engines cache.
+Decides when to send and dispatches each received message to its handler: loads,
+objects, or prompt parts that engines cache.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from wingfall.gateway.peers.loads.load_entries import Activity
 from wingfall.gateway.peers.loads.load_exchange import LoadExchange
 from wingfall.gateway.peers.news_exchange import (
-    NewsExchange,
     NewsKind,
-    PeerNews,
+    PeerUpdates,
+    UpdateExchange,
 )
 from wingfall.wire.codec import encode
 from wingfall.wire.gateway_messages import GatewayHeartbeat, ZoneLoads
@@ -43,7 +43,7 @@
 
 @final
 class Heartbeats:
-    """Sends heartbeats and takes all messages of the sessions."""
+    """Sends heartbeats and handles all messages of the sessions."""
 
     __slots__ = (
         '_clock',
@@ -53,13 +53,13 @@
         '_is_stopping',
         '_load',
         '_loads',
-        '_news',
+        '_updates',
         '_schedule',
         '_sessions',
         '_sent_revisions',
         '_sent_watching',
         '_transfer',
-        '_watches',
+        '_is_watching',
         '_writer',
         '_zone',
     )
@@ -78,18 +78,18 @@
         is_stopping: Callable[[], bool],
         duties: DutyExchange | None,
     ) -> None:
-        """Start with nothing told.
+        """Create the heartbeats of a gateway that has sent none.
 
         :param name: name of this gateway.
-        :param zone: its availability zone.
-        :param clock: the time.
-        :param knowledge: what it knows of endpoints.
-        :param sessions: the connected peers by name, kept by their owner.
-        :param exchange: gives and takes objects.
-        :param transfer: gives and takes what engines keep.
-        :param watches: whether this gateway hears the store's changes.
-        :param is_stopping: whether a planned stop has begun.
-        :param duties: tells what the duties need, None without duties.
+        :param zone: availability zone of this gateway.
+        :param clock: source of the current time.
+        :param knowledge: state of the endpoints as known to this gateway.
+        :param sessions: sessions by name of the peer, updated by their owner.
+        :param exchange: sends and receives objects.
+        :param transfer: sends and receives cached prompt parts.
+        :param watches: returns whether this gateway watches the store.
+        :param is_stopping: returns whether a planned stop has begun.
+        :param duties: exchange for the duties, None without duties.
         """
         self._zone = zone
         self._clock = clock
@@ -99,28 +99,28 @@
         self._duties = duties
         self._exchange = exchange
         self._transfer = transfer
-        self._watches = watches
+        self._is_watching = watches
         self._loads = LoadExchange(
             name=name,
             zone=zone,
             clock=clock,
             knowledge=knowledge,
         )
-        self._news = NewsExchange(clock=clock, knowledge=knowledge)
+        self._updates = UpdateExchange(clock=clock, knowledge=knowledge)
         self._writer = HeartbeatWriter(
             sessions=sessions.values(),
             exchange=exchange,
             transfer=transfer,
             loads=self._loads,
-            news=self._news,
+            updates=self._updates,
             watches=watches,
         )
         self._schedule = HeartbeatSchedule()
         self._sent_revisions: dict[str, int] = {}
         self._sent_watching = False
         self._handlers: dict[type[Message], Callable[..., None]] = {
-            GatewayHeartbeat: self._take_heartbeat,
-            ZoneLoads: self._take_zone,
+            GatewayHeartbeat: self._handle_heartbeat,
+            ZoneLoads: self._handle_zone_loads,
             ObjectsFetch: exchange.answer,
             ObjectsPage: exchange.take,
             PartsFetch: transfer.answer,
@@ -128,9 +128,9 @@
         }
 
     def greet(self, session: PeerSession) -> None:
-        """Tell a new peer where this gateway stands.
+        """Send the full state of this gateway to a new peer.
 
-        :param session: the session with it.
+        :param session: the session with the peer.
         """
         near = self._loads.near([session])
         heartbeat = self._writer.write(
@@ -138,40 +138,40 @@
             whole=True,
             loads=self._loads.own_loads() if near else None,
             activity=self._loads.known_speeds() if near else None,
-            news=self._news.write_all(),
+            updates=self._updates.write_all(),
             duties=self._duties.greet() if self._duties else None,
         )
         session.connection.send(heartbeat)
 
     def forget(self, session: PeerSession) -> None:
-        """Forget what a peer that is gone has told.
+        """Discard what a disconnected peer has reported.
 
         :param session: the session that ended.
         """
         self._exchange.forget(session)
         self._load.forget(session.name)
-        self._news.forget(session)
+        self._updates.forget(session)
         if self._duties is not None:
             self._duties.forget(session)
 
     def receive(self, session: PeerSession, message: Message) -> None:
-        """Take a message.
+        """Dispatch a message to its handler.
 
-        :param session: where it came from.
-        :param message: the message; an unknown one is passed over.
+        :param session: the session that received the message.
+        :param message: the message; an unknown type is ignored.
         """
-        take = self._handlers.get(type(message))
-        if take is not None:
-            take(session, message)
+        handle_message = self._handlers.get(type(message))
+        if handle_message is not None:
+            handle_message(session, message)
 
     def step(self) -> None:
-        """Tell what is due; called at each tick of the schedule."""
+        """Send the messages that are due; called at each tick."""
         now_ms = self._clock.now_ms()
         sessions = list(self._sessions.values())
         self._transfer.step(sessions)
         near = len(self._loads.near(sessions))
         self._schedule.set_peers(near=near, peers=len(sessions))
-        watching = self._watches()
+        watching = self._is_watching()
         due = self._schedule.due(
             now_ms,
             has_changes=self._load.has_changed,
@@ -179,7 +179,7 @@
             new_objects=self._has_new_objects(),
         )
         if watching is not self._sent_watching:
-            # Others step in, or need no longer, as soon as they hear it.
+            # Peers take over the watch, or need not, once they receive this.
             due = HeartbeatDue.whole
         if due is not HeartbeatDue.none:
             self._schedule.note_sent(now_ms, due)
@@ -191,24 +191,26 @@
         self.tell_duties(sessions)
 
     def tell_news(self, kind: NewsKind) -> None:
-        """Wait for news and tell all peers, in every zone.
+        """Wait for updates and send them to the peers of all zones.
 
-        :param kind: what is waited for.
+        :param kind: the kind of update to wait for.
         """
-        news = self._news.wait(kind)
-        self._tell_news(news, list(self._sessions.values()))
+        updates = self._updates.wait(kind)
+        self._send_updates(updates, list(self._sessions.values()))
 
     def tell(self, *, leaving: bool, whole: bool) -> None:
-        """Tell all peers: loads to the near ones, the rest to all.
+        """Send heartbeats: loads to peers of this zone, the rest to all.
 
         :param leaving: whether this gateway is stopping.
-        :param whole: whether to tell of all work, not only of changes.
+        :param whole: whether to send all loads, not only changes.
         """
         sessions = list(self._sessions.values())
         near = self._loads.near(sessions)
         if whole or leaving or self._has_new_objects():
-            far = [each for each in sessions if each.zone != self._zone]
-            _send_to_all(far, self._writer.write(leaving=leaving, whole=True))
+            other_zones = [each for each in sessions if each.zone != self._zone]
+            _send_to_all(
+                other_zones, self._writer.write(leaving=leaving, whole=True)
+            )
         heartbeat = self._writer.write(
             leaving=leaving,
             whole=whole,
@@ -225,20 +227,20 @@
         *,
         at_once: bool = False,
     ) -> None:
-        """Tell what the duties need, if any is due.
+        """Send the entries of the duties that are due.
 
         :param sessions: the connected peers.
-        :param at_once: whether to tell counts that are not due yet.
+        :param at_once: whether to send counts that are not due yet.
         """
         if self._duties is None:
             return
-        for session, told in self._duties.due(sessions, at_once=at_once):
+        for session, entries in self._duties.due(sessions, at_once=at_once):
             heartbeat = self._writer.write(
-                leaving=self._is_stopping(), whole=False, duties=told
+                leaving=self._is_stopping(), whole=False, duties=entries
             )
             session.connection.send(heartbeat)
 
-    def _take_heartbeat(
+    def _handle_heartbeat(
         self, session: PeerSession, heartbeat: GatewayHeartbeat
     ) -> None:
         session.leaving = heartbeat.leaving
@@ -258,26 +260,28 @@
             ),
             whole=heartbeat.whole,
         )
-        missed = self._news.take(session, heartbeat, len(self._sessions))
-        self._tell_news(missed, [session])
+        missed = self._updates.merge(session, heartbeat, len(self._sessions))
+        self._send_updates(missed, [session])
         if self._duties is not None and heartbeat.duties:
             self._duties.take(session, heartbeat.duties)
         for kind, revision in heartbeat.revisions.items():
             self._exchange.compare(session, kind, revision)
 
-    def _tell_news(
+    def _send_updates(
         self,
-        news: PeerNews,
+        updates: PeerUpdates,
         sessions: Iterable[PeerSession],
     ) -> None:
-        if news.empty:
+        if updates.is_empty:
             return
         heartbeat = self._writer.write(
-            leaving=self._is_stopping(), whole=False, news=news
+            leaving=self._is_stopping(), whole=False, updates=updates
         )
         _send_to_all(sessions, heartbeat)
 
-    def _take_zone(self, session: PeerSession, loads: ZoneLoads) -> None:
+    def _handle_zone_loads(
+        self, session: PeerSession, loads: ZoneLoads
+    ) -> None:
         self._loads.take_zone(session, loads, self._sessions.values())
 
     def _has_new_objects(self) -> bool:
--- a/wingfall/gateway/peers/news_exchange.py
+++ b/wingfall/gateway/peers/news_exchange.py
@@ -1,6 +1,6 @@
-"""News that all gateways hear at once: of crashes and of what endpoints say.
+"""Updates sent to all gateways at once: crashes and signals of endpoints.
 
-Joins the exchanges, so that a heartbeat carries the news of all of them.
+Combines the exchanges, so that a heartbeat carries the updates of all of them.
 """
 
 from __future__ import annotations
@@ -8,8 +8,8 @@
 import enum
 from typing import TYPE_CHECKING, final
 
-from wingfall.gateway.peers.crash_exchange import CrashExchange, CrashNews
-from wingfall.gateway.peers.signal_exchange import SignalExchange, SignalNews
+from wingfall.gateway.peers.crash_exchange import CrashExchange, CrashUpdates
+from wingfall.gateway.peers.signal_exchange import SignalExchange, SignalUpdates
 
 if TYPE_CHECKING:
     from wingfall.clock import Clock
@@ -20,116 +20,116 @@
 
 @final
 class NewsKind(enum.StrEnum):
-    """What all peers hear as soon as it is known."""
+    """Kind of update that is sent to all peers at once."""
 
     crashes = 'crashes'
     signals = 'signals'
 
 
 @final
-class PeerNews:
-    """The news of one heartbeat."""
+class PeerUpdates:
+    """Updates carried by one heartbeat."""
 
     __slots__ = ('crashes', 'signals')
 
     def __init__(
         self,
         *,
-        crashes: CrashNews | None = None,
-        signals: SignalNews | None = None,
+        crashes: CrashUpdates | None = None,
+        signals: SignalUpdates | None = None,
     ) -> None:
-        """Keep news.
+        """Create updates.
 
-        :param crashes: of endpoints that crashed.
-        :param signals: of limits and leavings.
+        :param crashes: updates on endpoints that crashed.
+        :param signals: updates on limits and leavings of endpoints.
         """
-        self.crashes = crashes or CrashNews()
-        self.signals = signals or SignalNews()
+        self.crashes = crashes or CrashUpdates()
+        self.signals = signals or SignalUpdates()
 
     @property
-    def empty(self) -> bool:
-        """Whether there is nothing to tell."""
-        return self.crashes.empty and self.signals.empty
+    def is_empty(self) -> bool:
+        """Whether there is nothing to send."""
+        return self.crashes.is_empty and self.signals.is_empty
 
 
 @final
-class NewsExchange:
-    """Tells news, and takes what peers tell."""
+class UpdateExchange:
+    """Sends updates to peers and merges theirs."""
 
     __slots__ = ('_crashes', '_signals')
 
     def __init__(self, *, clock: Clock, knowledge: EndpointKnowledge) -> None:
-        """Start with nothing told.
+        """Create the exchanges of a gateway.
 
-        :param clock: the time.
-        :param knowledge: what this gateway knows of endpoints.
+        :param clock: source of the current time.
+        :param knowledge: state of the endpoints as known to this gateway.
         """
         self._crashes = CrashExchange(clock=clock, ledger=knowledge.crashes)
         self._signals = SignalExchange(clock=clock, signals=knowledge.signals)
 
     @property
-    def crash_sum(self) -> int:
-        """The number that stands for the crashes of the last minute."""
+    def crash_digest(self) -> int:
+        """The digest of the crashes of the last minute."""
         return self._crashes.recent_sum
 
     @property
-    def signal_sum(self) -> int:
-        """The number that stands for what endpoints said lately."""
+    def signal_digest(self) -> int:
+        """The digest of the recent signals of endpoints."""
         return self._signals.recent_sum
 
-    def wait(self, kind: NewsKind) -> PeerNews:
-        """Wait for news that no peer has heard from here.
+    def wait(self, kind: NewsKind) -> PeerUpdates:
+        """Wait for updates that this gateway has not sent.
 
-        :param kind: what is waited for.
-        :returns: the news.
+        :param kind: the kind of update to wait for.
+        :returns: the updates.
         """
         if kind is NewsKind.crashes:
             self._crashes.wait()
-            return PeerNews(crashes=self._crashes.take_untold())
+            return PeerUpdates(crashes=self._crashes.take_untold())
         self._signals.wait()
-        return PeerNews(signals=self._signals.take_untold())
+        return PeerUpdates(signals=self._signals.take_untold())
 
-    def write_all(self) -> PeerNews:
-        """Write all that is known, for a new session.
+    def write_all(self) -> PeerUpdates:
+        """Return all known entries, for a new session.
 
-        :returns: the news.
+        :returns: the updates.
         """
-        return PeerNews(
+        return PeerUpdates(
             crashes=self._crashes.write_all(),
             signals=self._signals.write_all(),
         )
 
     def forget(self, session: PeerSession) -> None:
-        """Note the end of a session.
+        """Record the end of a session.
 
-        :param session: the session.
+        :param session: the session that ended.
         """
         self._crashes.forget(session)
 
-    def take(
+    def merge(
         self,
         session: PeerSession,
         heartbeat: GatewayHeartbeat,
         sessions: int,
-    ) -> PeerNews:
-        """Take the news of a heartbeat.
+    ) -> PeerUpdates:
+        """Merge the updates of a heartbeat.
 
         :param session: the session with the peer.
-        :param heartbeat: what it tells.
-        :param sessions: how many peers see what it told.
-        :returns: what the peer has missed, empty if others tell it.
+        :param heartbeat: the heartbeat of the peer.
+        :param sessions: number of gateways that receive the heartbeat.
+        :returns: updates that the peer missed, empty if others send them.
         """
-        self._crashes.take(
-            CrashNews(crashes=heartbeat.crashes, served=heartbeat.served)
+        self._crashes.merge(
+            CrashUpdates(crashes=heartbeat.crashes, served=heartbeat.served)
         )
-        self._signals.take(
-            SignalNews(limits=heartbeat.limits, leavings=heartbeat.leavings)
+        self._signals.merge(
+            SignalUpdates(limits=heartbeat.limits, leavings=heartbeat.leavings)
         )
-        return PeerNews(
-            crashes=self._crashes.answer(
+        return PeerUpdates(
+            crashes=self._crashes.answer_digest(
                 session, heartbeat.crash_sum, sessions
             ),
-            signals=self._signals.answer(
+            signals=self._signals.answer_digest(
                 session, heartbeat.signal_sum, sessions
             ),
         )
--- a/wingfall/gateway/peers/news_repair.py
+++ b/wingfall/gateway/peers/news_repair.py
@@ -1,8 +1,8 @@
-"""When a peer is told again what it seems to have missed.
+"""Anti-entropy: resends updates to a peer whose digest differs.
 
-Gateways tell each other news once, at once. Heartbeats carry a number that is
-the same for those who know the same; where a peer's differs for longer than
-news take, it is told again, by some of those who see it.
+Gateways send each update once, immediately. Heartbeats carry a digest that is
+equal for gateways with equal state; if the digest of a peer differs for longer
+than updates take, some of the gateways that see it resend the updates.
 """
 
 from __future__ import annotations
@@ -13,37 +13,37 @@
 if TYPE_CHECKING:
     from wingfall.clock import Clock
 
-# Milliseconds without a change after which a peer that knows other things has
-# missed some: news and heartbeats of a moment ago may have crossed.
-_SETTLED_MS: Final = 500
-# Milliseconds between two such tellings to one peer: what it has no room for
-# must not be told at each heartbeat.
-_TOLD_AGAIN_MS: Final = 3000
-# Gateways that tell a peer again, of all that see that it missed news: one may
-# be cut off from it.
-_TELLING: Final = 4
+# Time without a change after which a differing digest means missed updates:
+# updates and heartbeats sent a moment ago may have crossed.
+_SETTLE_TIME_MS: Final = 500
+# Interval between two resends to one peer: entries for which the peer has no
+# capacity must not be sent with each heartbeat.
+_RESEND_INTERVAL_MS: Final = 3000
+# Average number of gateways that resend, of all that see the differing digest:
+# one gateway may be cut off from the peer.
+_RESENDING_GATEWAYS: Final = 4
 
 
 @final
-class NewsRepair:
-    """Since when this gateway's knowledge has not changed."""
+class AntiEntropy:
+    """Decides when updates are resent to a peer."""
 
     __slots__ = ('_changed_ms', '_clock', '_state')
 
     def __init__(self, *, clock: Clock, state: int) -> None:
-        """Start with a state.
+        """Initialize with the current state.
 
-        :param clock: the time.
-        :param state: a number that changes with what is known.
+        :param clock: source of the current time.
+        :param state: a number that changes with the known entries.
         """
         self._clock = clock
         self._state = state
         self._changed_ms = clock.now_ms()
 
     def note_state(self, state: int) -> None:
-        """Note what is known by now.
+        """Record the current state.
 
-        :param state: the number.
+        :param state: a number that changes with the known entries.
         """
         if state != self._state:
             self._state = state
@@ -52,22 +52,25 @@
     def is_due(
         self,
         *,
-        told_sum: int,
-        own_sum: int,
-        told_ms: float,
+        peer_digest: int,
+        own_digest: int,
+        resent_ms: float,
         sessions: int,
     ) -> bool:
-        """Tell whether a peer is to be told again.
+        """Check if this gateway resends updates to a peer now.
 
-        :param told_sum: the number that it told, negative if it told none.
-        :param own_sum: the number of this gateway.
-        :param told_ms: when it was last told again.
-        :param sessions: how many peers see what it told.
-        :returns: whether this gateway does so now.
+        :param peer_digest: digest of the peer, negative if it sent none.
+        :param own_digest: digest of this gateway.
+        :param resent_ms: time of the last resend to the peer in milliseconds.
+        :param sessions: number of gateways that receive the digest.
+        :returns: whether updates are due for the peer.
         """
         now_ms = self._clock.now_ms()
-        if told_sum < 0 or now_ms - self._changed_ms < _SETTLED_MS:
+        if peer_digest < 0 or now_ms - self._changed_ms < _SETTLE_TIME_MS:
             return False
-        if now_ms - told_ms < _TOLD_AGAIN_MS or told_sum == own_sum:
+        if (
+            now_ms - resent_ms < _RESEND_INTERVAL_MS
+            or peer_digest == own_digest
+        ):
             return False
-        return random.random() * sessions <= _TELLING  # noqa: S311
+        return random.random() * sessions <= _RESENDING_GATEWAYS  # noqa: S311
--- a/wingfall/gateway/peers/signal_exchange.py
+++ b/wingfall/gateway/peers/signal_exchange.py
@@ -1,9 +1,9 @@
-"""What gateways tell each other of endpoints' limits and leavings.
+"""Exchange of limits and leavings of endpoints between gateways.
 
-Each gateway tells all others at once of what an endpoint has said to it, in
-every availability zone and without a relay: a limit holds for all gateways
-together, also for those that haven't asked the endpoint. A new session begins
-with all that is known; a peer that knows less is told again.
+Each gateway immediately sends the signals that it receives from an endpoint to
+all others, in every availability zone and without a relay: a limit holds for
+all gateways together, also for gateways that have not called the endpoint. A
+new session begins with all known entries; a digest mismatch causes a resend.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from wingfall.gateway.model.endpoint_leaving import EndpointLeaving
 from wingfall.gateway.model.endpoint_limit import EndpointLimit
-from wingfall.gateway.peers.news_repair import NewsRepair
+from wingfall.gateway.peers.news_repair import AntiEntropy
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -23,8 +23,8 @@
 
 
 @final
-class SignalNews:
-    """Limits and leavings as they stand in a heartbeat."""
+class SignalUpdates:
+    """Limits and leavings as encoded in a heartbeat."""
 
     __slots__ = ('leavings', 'limits')
 
@@ -34,122 +34,122 @@
         limits: list[list[Any]] | None = None,
         leavings: list[list[Any]] | None = None,
     ) -> None:
-        """Keep news.
-
-        :param limits: for each the endpoint, its rate or None once it names
-            none, how many milliseconds ago that rate was first heard, the
-            request of the newest answer was sent and that answer was heard,
-            and the gateway that heard it.
-        :param leavings: for each the endpoint, how many milliseconds ago it
-            was first heard, and the gateway that heard it.
+        """Create updates.
+
+        :param limits: for each limit the endpoint, its rate or None once the
+            endpoint names none, how many milliseconds ago that rate was first
+            received, the request of the newest answer was sent and that answer
+            was received, and the gateway that received it.
+        :param leavings: for each leaving the endpoint, how many milliseconds
+            ago it was first received, and the gateway that received it.
         """
         self.limits = limits or []
         self.leavings = leavings or []
 
     @property
-    def empty(self) -> bool:
-        """Whether there is nothing to tell."""
+    def is_empty(self) -> bool:
+        """Whether there is nothing to send."""
         return not (self.limits or self.leavings)
 
 
 @final
 class SignalExchange:
-    """Tells of what endpoints say, and takes what peers tell."""
+    """Sends signals of endpoints to peers and merges theirs."""
 
-    __slots__ = ('_clock', '_repair', '_signals')
+    __slots__ = ('_clock', '_anti_entropy', '_signals')
 
     def __init__(self, *, clock: Clock, signals: EndpointSignals) -> None:
-        """Start with nothing told.
+        """Initialize the exchange.
 
-        :param clock: the time.
-        :param signals: what endpoints have said.
+        :param clock: source of the current time.
+        :param signals: the signals of endpoints known to this gateway.
         """
         self._clock = clock
         self._signals = signals
-        self._repair = NewsRepair(clock=clock, state=signals.recent_sum)
+        self._anti_entropy = AntiEntropy(clock=clock, state=signals.recent_sum)
 
     @property
     def recent_sum(self) -> int:
-        """The number that stands for what changed in the last minute."""
+        """The digest of the signals that changed in the last minute."""
         return self._signals.recent_sum
 
     def wait(self) -> None:
-        """Wait until there is something that no peer has heard from here."""
+        """Wait for entries that this gateway has not sent."""
         self._signals.news.wait()
 
-    def take_untold(self) -> SignalNews:
-        """Take what no peer has heard from here.
+    def take_untold(self) -> SignalUpdates:
+        """Return and clear the entries that were not sent yet.
 
-        :returns: the news.
+        :returns: the updates.
         """
-        return self._write(self._signals.take_untold())
+        return self._encode(self._signals.take_untold())
 
-    def write_all(self) -> SignalNews:
-        """Write all that is known, for a new session.
+    def write_all(self) -> SignalUpdates:
+        """Return all known entries, for a new session.
 
-        :returns: the news.
+        :returns: the updates.
         """
         known = self._signals.limits.keys() | self._signals.leaving.keys()
-        return self._write(known)
+        return self._encode(known)
 
-    def answer(
+    def answer_digest(
         self,
         session: PeerSession,
-        recent_sum: int,
+        peer_digest: int,
         sessions: int,
-    ) -> SignalNews:
-        """Write what a peer may have missed.
+    ) -> SignalUpdates:
+        """Return the entries that a peer may have missed.
 
         :param session: the session with the peer.
-        :param recent_sum: the number that it told, negative if it told none.
-        :param sessions: how many peers see what it told.
-        :returns: the news, empty if it has missed nothing or others tell it.
+        :param peer_digest: digest of the peer, negative if it sent none.
+        :param sessions: number of gateways that receive the digest.
+        :returns: the updates, empty if none were missed or others resend.
         """
-        own_sum = self._signals.recent_sum
-        self._repair.note_state(own_sum)
-        if not self._repair.is_due(
-            told_sum=recent_sum,
-            own_sum=own_sum,
-            told_ms=session.signals_told_ms,
+        own_digest = self._signals.recent_sum
+        self._anti_entropy.note_state(own_digest)
+        if not self._anti_entropy.is_due(
+            peer_digest=peer_digest,
+            own_digest=own_digest,
+            resent_ms=session.signals_told_ms,
             sessions=sessions,
         ):
-            return SignalNews()
+            return SignalUpdates()
         session.signals_told_ms = self._clock.now_ms()
-        return self._write(self._signals.recent())
+        return self._encode(self._signals.recent())
 
-    def take(self, news: SignalNews) -> None:
-        """Take what a peer tells.
+    def merge(self, updates: SignalUpdates) -> None:
+        """Merge the updates of a peer.
 
-        :param news: the news.
+        :param updates: the updates.
         """
         now_ms = self._clock.now_ms()
-        for endpoint, *told in news.limits:
-            self._signals.take_limit(endpoint, _read_limit(told, now_ms))
-        for endpoint, age_ms, told_by in news.leavings:
+        for endpoint, *encoded in updates.limits:
+            self._signals.take_limit(endpoint, _decode_limit(encoded, now_ms))
+        for endpoint, age_ms, told_by in updates.leavings:
             leaving = EndpointLeaving(heard_ms=now_ms - age_ms, told_by=told_by)
             self._signals.take_leaving(endpoint, leaving)
-        self._repair.note_state(self._signals.recent_sum)
+        self._anti_entropy.note_state(self._signals.recent_sum)
 
-    def _write(self, endpoints: Iterable[str]) -> SignalNews:
+    def _encode(self, endpoints: Iterable[str]) -> SignalUpdates:
         now_ms = self._clock.now_ms()
         limits, leaving = self._signals.limits, self._signals.leaving
-        named = sorted(endpoints)
-        return SignalNews(
+        names = sorted(endpoints)
+        return SignalUpdates(
             limits=[
-                _write_limit(name, limits[name], now_ms)
-                for name in named
+                _encode_limit(name, limits[name], now_ms)
+                for name in names
                 if name in limits
             ],
             leavings=[
                 [name, now_ms - leaving[name].heard_ms, leaving[name].told_by]
-                for name in named
+                for name in names
                 if name in leaving
             ],
         )
 
 
-def _read_limit(told: list[Any], now_ms: int) -> EndpointLimit:
-    rate, *ages_ms, told_by = told
+def _decode_limit(encoded: list[Any], now_ms: int) -> EndpointLimit:
+    rate, *ages_ms, told_by = encoded
     changed_ms, sent_ms, heard_ms = (now_ms - age_ms for age_ms in ages_ms)
     return EndpointLimit(
         rate=rate,
@@ -160,7 +160,7 @@
     )
 
 
-def _write_limit(name: str, limit: EndpointLimit, now_ms: int) -> list[Any]:
+def _encode_limit(name: str, limit: EndpointLimit, now_ms: int) -> list[Any]:
     return [
         name,
         limit.rate,
