--- a/tests/test_peer_sessions.py
+++ b/tests/test_peer_sessions.py
@@ -1,4 +1,4 @@
-"""One connection between two gateways, whoever opens one."""
+"""Tests that two gateways keep a single connection with each other."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 GATEWAY = 'gateway-0'
 NAMES = [f'peer-{number}' for number in range(500)]
-BEFORE = next(name for name in NAMES if rank(name) < rank(GATEWAY))
-AFTER = next(name for name in NAMES if rank(name) > rank(GATEWAY))
+LOWER_RANKED = next(name for name in NAMES if rank(name) < rank(GATEWAY))
+HIGHER_RANKED = next(name for name in NAMES if rank(name) > rank(GATEWAY))
 
 
 @final
 class _Peer:
-    """A gateway that connects both ways and says nothing but hello."""
+    """A peer that dials and accepts, and sends only a hello."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -42,23 +42,23 @@
 
     @property
     def address(self) -> str:
-        """Where gateways connect to it."""
+        """Address that gateways connect to."""
         return f'{HOST}:{self._server.server_port}'
 
     def dial(self, gateway: GatewayApplication) -> None:
         """Connect to a gateway."""
         host, _colon, port = gateway.peer_address.rpartition(':')
         sock = gevent.socket.create_connection((host, int(port)))
-        gevent.spawn(self._keep, Connection(sock=sock), 'dialed')
+        gevent.spawn(self._serve, Connection(sock=sock), 'dialed')
 
     def stop(self) -> None:
-        """Accept no more connections."""
+        """Stop accepting connections."""
         self._server.stop(timeout=0)
 
     def _accept(self, sock: gevent.socket.socket, _peer: object) -> None:
-        self._keep(Connection(sock=sock), 'accepted')
+        self._serve(Connection(sock=sock), 'accepted')
 
-    def _keep(self, connection: Connection, way: str) -> None:
+    def _serve(self, connection: Connection, direction: str) -> None:
         connection.send(
             GatewayHello(
                 name=self.name,
@@ -69,10 +69,10 @@
         )
         for _message in connection.receive():
             gevent.sleep(0)
-        self.closed[way].set()
+        self.closed[direction].set()
 
 
-def both_ways(site: GatewaySite, name: str) -> Iterator[_Peer]:
+def connect_both_ways(site: GatewaySite, name: str) -> Iterator[_Peer]:
     """Connect a peer and a gateway to each other at the same time."""
     peer = _Peer(name)
     gateway = site.start_gateway(
@@ -85,17 +85,17 @@
 
 @pytest.mark.parametrize(
     ('name', 'kept'),
-    [(BEFORE, 'dialed'), (AFTER, 'accepted')],
+    [(LOWER_RANKED, 'dialed'), (HIGHER_RANKED, 'accepted')],
 )
 def test_both_sides_keep_the_same_connection(
     gateway_site: GatewaySite,
     name: str,
     kept: str,
 ):
-    connected = both_ways(gateway_site, name)
+    connected = connect_both_ways(gateway_site, name)
     peer = next(connected)
     (ended,) = {'dialed', 'accepted'} - {kept}
-    # A connection that is not kept ends long before silence would end it.
+    # The other connection is closed long before the silence timeout.
     assert peer.closed[ended].wait(timeout=2)
     assert not peer.closed[kept].is_set()
     assert gateway_site.gateways[0].status()['peers'] == [name]
@@ -105,30 +105,30 @@
 def test_peer_that_was_started_again_replaces_the_one_before(
     gateway_site: GatewaySite,
 ):
-    peer = _Peer(AFTER)
+    peer = _Peer(HIGHER_RANKED)
     gateway = gateway_site.start_gateway(
         peers={'listen': f'{HOST}:0', 'seeds': [peer.address]},
     )
-    wait_until(lambda: gateway.status()['peers'] == [AFTER])
+    wait_until(lambda: gateway.status()['peers'] == [HIGHER_RANKED])
     peer.incarnation = 2
     peer.dial(gateway)
     wait_until(peer.closed['accepted'].is_set)
-    assert gateway.status()['peers'] == [AFTER]
+    assert gateway.status()['peers'] == [HIGHER_RANKED]
     peer.stop()
 
 
 def test_slow_dial_is_not_repeated_while_it_is_under_way(
     gateway_site: GatewaySite,
 ):
-    """Over a full link a hello comes later than the next round of dials."""
+    """Over a full link a hello arrives after the next round of dials."""
     opened = []
     test_ended = Event()
 
-    def say_nothing(sock: gevent.socket.socket, _peer: object) -> None:
+    def stay_silent(sock: gevent.socket.socket, _peer: object) -> None:
         opened.append(sock)
         test_ended.wait()
 
-    server = StreamServer((HOST, 0), say_nothing)
+    server = StreamServer((HOST, 0), stay_silent)
     server.start()
     gateway_site.start_gateway(
         peers={
--- a/wingfall/gateway/peers/__init__.py
+++ b/wingfall/gateway/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What gateways tell each other: loads, outcomes, parts kept, objects."""
+"""Exchange of loads, outcomes, cached prompt parts and objects by gateways."""
--- a/wingfall/gateway/peers/gateway_peers.py
+++ b/wingfall/gateway/peers/gateway_peers.py
@@ -1,8 +1,7 @@
-"""Connections between gateways: who is connected, and who watches the store.
+"""Connections of a gateway to its peers.
 
-Owns the sessions and the port for peers; one session is kept with each peer.
-What is said over them is the matter of
-:mod:`wingfall.gateway.peers.heartbeats`.
+Owns the sessions, one per connected peer, and the port for peers. The
+messages of a session are handled by :mod:`wingfall.gateway.peers.heartbeats`.
 """
 
 from __future__ import annotations
@@ -41,13 +40,13 @@
     from wingfall.supervisor import Supervisor
     from wingfall.wire.message import Message
 
-# Bits of the number drawn at a start: two starts never draw the same.
+# Bits of the random number that distinguishes two starts of a gateway.
 _INCARNATION_BITS: Final = 48
 
 
 @final
 class GatewayPeers:
-    """All sessions with other gateways."""
+    """The sessions of this gateway with its peers."""
 
     __slots__ = (
         '_address',
@@ -84,22 +83,22 @@
         is_stopping: Callable[[], bool],
         duties: DutyExchange | None = None,
     ) -> None:
-        """Bind the address.
+        """Bind the address for peers.
 
         :param name: name of this gateway.
-        :param address: ``host:port`` for peers.
-        :param zone: its availability zone.
-        :param seeds: addresses that some gateways may be found at.
-        :param clock: the time.
-        :param metrics: where connected peers are counted.
-        :param bounds: what all gateways together must keep to.
-        :param knowledge: what this gateway knows of endpoints.
-        :param replicas: the objects that gateways give each other.
-        :param transfer: learns what engines keep from a peer.
-        :param supervisor: keeps the connections.
-        :param watches: whether this gateway hears the store's changes.
+        :param address: ``host:port`` to listen on for peers.
+        :param zone: availability zone of this gateway.
+        :param seeds: addresses of other gateways from the settings.
+        :param clock: clock of this gateway.
+        :param metrics: records the number of connected peers.
+        :param bounds: limits that all gateways share.
+        :param knowledge: state of the endpoints.
+        :param replicas: objects that gateways send each other.
+        :param transfer: fetches cached prompt parts from a peer.
+        :param supervisor: runs the background loops.
+        :param watches: whether this gateway receives the store's changes.
         :param is_stopping: whether a planned stop has begun.
-        :param duties: tells what the duties need, None without duties.
+        :param duties: exchanges data of the duties, None without duties.
         """
         self._name = name
         self._incarnation = random.getrandbits(_INCARNATION_BITS)
@@ -140,48 +139,48 @@
 
     @property
     def address(self) -> str:
-        """``host:port`` where peers connect."""
+        """``host:port`` that peers connect to."""
         return self._address
 
     @property
     def names(self) -> list[str]:
-        """Names of the connected peers."""
+        """Sorted names of the connected peers."""
         return sorted(self._sessions)
 
     @property
     def view(self) -> PeerView:
-        """What is seen of the others, for who stands for what."""
+        """View of the peers, for the store watch and the lease."""
         return self._view
 
     def start(self) -> None:
-        """Accept and connect from now on."""
-        self._share_bounds()
+        """Start to accept and open connections."""
+        self._update_bounds()
         self._server.start()
         self._supervisor.start('heartbeats', self._send_heartbeats)
         for kind in NewsKind:
-            body = functools.partial(self._tell_forever, kind)
+            body = functools.partial(self._send_updates_forever, kind)
             self._supervisor.start(kind, body)
         self._supervisor.start('dials', self._dial_forever)
 
     def learn(self, addresses: Iterable[str]) -> None:
-        """Connect to further gateways.
+        """Add addresses of gateways to connect to.
 
-        :param addresses: where they may be found.
+        :param addresses: ``host:port`` of other gateways.
         """
         self._addresses.add(addresses)
-        self._share_bounds()
+        self._update_bounds()
 
     def leave(self) -> None:
-        """Tell the peers that this gateway is stopping."""
+        """Announce to the peers that this gateway is stopping."""
         self._heartbeats.tell(leaving=True, whole=True)
 
     def tell_last_counts(self) -> None:
-        """Tell what this gateway has counted, before it ends."""
+        """Send unreported usage counts to peers before the process ends."""
         sessions = list(self._sessions.values())
         self._heartbeats.tell_duties(sessions, at_once=True)
 
     def stop(self) -> None:
-        """End all connections."""
+        """Close the port and all connections."""
         self._server.stop(timeout=0)
         for session in list(self._sessions.values()):
             session.connection.close()
@@ -192,15 +191,15 @@
             connected=lambda: (
                 each.address for each in self._sessions.values()
             ),
-            run=lambda sock: self._run(sock, dialed=True),
+            run=lambda sock: self._run_session(sock, dialed=True),
             supervisor=self._supervisor,
         )
-        dialer.dial_forever(self._share_bounds)
+        dialer.dial_forever(self._update_bounds)
 
     def _accept(self, sock: socket.socket, peer: tuple[str, int]) -> None:
-        self._run(sock, dialed=False)
+        self._run_session(sock, dialed=False)
 
-    def _run(self, sock: socket.socket, *, dialed: bool) -> None:
+    def _run_session(self, sock: socket.socket, *, dialed: bool) -> None:
         connection = Connection(sock=sock)
         connection.allow_large()
         connection.set_timeout(silence_ms(len(self._sessions)))
@@ -211,16 +210,16 @@
                 if session is not None:
                     self._heartbeats.receive(session, message)
                     continue
-                session = self._begin(message, connection, dialed=dialed)
+                session = self._open_session(message, connection, dialed=dialed)
                 if session is None:
                     break
         except WireError as error:
-            _log_cut(session, error)
+            _log_session_error(session, error)
         finally:
             connection.close()
-            self._end(session)
+            self._remove_session(session)
 
-    def _begin(
+    def _open_session(
         self,
         message: Message,
         connection: Connection,
@@ -228,32 +227,32 @@
         dialed: bool,
     ) -> PeerSession | None:
         if not isinstance(message, GatewayHello):
-            raise WireError('no hello')
+            raise WireError('the first message of a peer is not a hello')
         session = PeerSession(
             hello=message,
             connection=connection,
             dialed=dialed,
         )
         self.learn([message.address, *message.known])
-        known = self._sessions.get(session.name)
-        if known is not None and not session.replaces(known, self._name):
+        existing = self._sessions.get(session.name)
+        if existing is not None and not session.replaces(existing, self._name):
             return None
         self._sessions[session.name] = session
-        if known is not None:
-            known.connection.close()
+        if existing is not None:
+            existing.connection.close()
             log_event('peers', 'A peer is connected anew.', peer=session.name)
-        self._share_bounds()
+        self._update_bounds()
         log_event('peers', 'A peer is connected.', peer=session.name)
         self._heartbeats.greet(session)
         return session
 
-    def _end(self, session: PeerSession | None) -> None:
+    def _remove_session(self, session: PeerSession | None) -> None:
         if session is None or self._sessions.get(session.name) is not session:
             return
         self._sessions.pop(session.name)
         self._heartbeats.forget(session)
         self._transfer.note_sessions(len(self._sessions), self._addresses.count)
-        self._share_bounds()
+        self._update_bounds()
         log_event(
             'peers',
             'A peer is gone.',
@@ -261,17 +260,17 @@
             reason=session.connection.fault,
         )
 
-    def _share_bounds(self) -> None:
+    def _update_bounds(self) -> None:
         self._metrics.links.set({}, len(self._sessions))
         self._bounds.note_sessions(self._sessions, self._addresses.count)
 
-    def _tell_forever(self, kind: NewsKind) -> None:
+    def _send_updates_forever(self, kind: NewsKind) -> None:
         while not self._supervisor.stopped:
             self._heartbeats.tell_news(kind)
 
     def _send_heartbeats(self) -> None:
         while not self._supervisor.stopped:
-            self._share_bounds()
+            self._update_bounds()
             self._heartbeats.step()
             gevent.sleep(TICK_MS / MS_PER_S)
 
@@ -285,11 +284,11 @@
         )
 
 
-def _log_cut(session: PeerSession | None, error: WireError) -> None:
+def _log_session_error(session: PeerSession | None, error: WireError) -> None:
     log_event(
         'peers',
         'A peer was cut off.',
-        # Without a name if it was cut before it said hello.
+        # None if the connection failed before the hello.
         peer=session.name if session else None,
         reason=str(error),
     )
--- a/wingfall/gateway/peers/peer_addresses.py
+++ b/wingfall/gateway/peers/peer_addresses.py
@@ -1,4 +1,4 @@
-"""Where other gateways may be found, and which of them can be reached."""
+"""Known addresses of other gateways, and which of them are reachable."""
 
 from __future__ import annotations
 
@@ -8,99 +8,103 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Dials of a round. With a round each 0.3 s, by arithmetic, 300 gateways are
-# connected some ten seconds after a start.
-_MOST_DIALS: Final = 8
-# Dials in a row that fail before an address is forgotten: some ten seconds with
-# a round each 0.3 s.
-_MOST_MISSED: Final = 30
-# Addresses that a hello names: all are known after some hellos. Hellos that
-# named all were the largest price between zones with 298 gateways.
+# Dials per round. With a round each 0.3 s, 300 gateways are connected some ten
+# seconds after a start, by calculation.
+_MAX_DIALS: Final = 8
+# Consecutive failed dials after which an address is removed: some ten seconds
+# with a round each 0.3 s.
+_MAX_FAILED_DIALS: Final = 30
+# Addresses in a hello: all are known after some hellos. Hellos with all
+# addresses caused the most traffic between zones with 298 gateways.
 _MOST_NAMED: Final = 24
 
 
 @final
 class PeerAddresses:
-    """The addresses (``host:port``) that settings and peers have named."""
+    """Addresses (``host:port``) of gateways from the settings and peers."""
 
-    __slots__ = ('_dialing', '_missed', '_own', '_seeds')
+    __slots__ = ('_active_dials', '_failed_dials', '_own', '_seeds')
 
     def __init__(self, *, own: str, seeds: Iterable[str]) -> None:
-        """Start with the seeds.
+        """Create the set of addresses from the seeds.
 
         :param own: address of this gateway.
-        :param seeds: addresses that are never forgotten.
+        :param seeds: addresses that are never removed.
         """
         self._own = own
         self._seeds = set(seeds)
-        # Dials in a row that failed, by address.
-        self._missed: dict[str, int] = {}
-        # Where a connection is being opened, or one that was is still used.
-        self._dialing: set[str] = set()
+        # Consecutive failed dials by address.
+        self._failed_dials: dict[str, int] = {}
+        # Addresses with a dial in progress or a dialed connection in use.
+        self._active_dials: set[str] = set()
         self.add(self._seeds)
 
     @property
     def count(self) -> int:
-        """How many addresses are known."""
-        return len(self._missed)
+        """Number of known addresses."""
+        return len(self._failed_dials)
 
     def add(self, addresses: Iterable[str]) -> None:
-        """Learn of further gateways.
+        """Add addresses of other gateways.
 
-        :param addresses: where they may be found.
+        :param addresses: addresses to add; the own address is skipped.
         """
         for address in addresses:
             if address != self._own:
-                self._missed.setdefault(address, 0)
+                self._failed_dials.setdefault(address, 0)
 
     def name_some(self) -> list[str]:
-        """Draw addresses for a hello.
+        """Return a random sample of addresses for a hello.
 
         :returns: a bounded number of addresses.
         """
-        known = list(self._missed)
+        known = list(self._failed_dials)
         return random.sample(known, min(_MOST_NAMED, len(known)))
 
     def choose_dials(self, connected: set[str]) -> list[str]:
-        """Draw where to connect now, so that two rarely dial each other.
+        """Choose addresses to dial.
+
+        The choice is random, so that two gateways rarely dial each other.
 
         :param connected: addresses of the connected peers.
         :returns: a bounded number of addresses.
         """
-        # Over a slow link a dial takes longer than the time between two.
-        missing = sorted(self._missed.keys() - connected - self._dialing)
-        return random.sample(missing, min(_MOST_DIALS, len(missing)))
+        # Over a slow link a dial takes longer than the time between rounds.
+        missing = sorted(
+            self._failed_dials.keys() - connected - self._active_dials
+        )
+        return random.sample(missing, min(_MAX_DIALS, len(missing)))
 
     def begin_dial(self, address: str) -> None:
-        """Note that a connection is being opened.
+        """Record the start of a dial.
 
-        :param address: where.
+        :param address: address that is dialed.
         """
-        self._dialing.add(address)
+        self._active_dials.add(address)
 
     def end_dial(self, address: str) -> None:
-        """Note that a connection that was opened has ended, or none came up.
+        """Record the end of a dialed connection, or a failed dial.
 
-        :param address: where.
+        :param address: address that was dialed.
         """
-        self._dialing.discard(address)
+        self._active_dials.discard(address)
 
     def note_reached(self, address: str) -> None:
-        """Note that a connection came up.
+        """Record a successful dial.
 
-        :param address: where.
+        :param address: address that was dialed.
         """
-        self._missed[address] = 0
+        self._failed_dials[address] = 0
 
     def note_missed(self, address: str) -> bool:
-        """Note that no connection came up.
+        """Record a failed dial.
 
-        :param address: where.
-        :returns: whether the address is forgotten by now.
+        :param address: address that was dialed.
+        :returns: whether the address was removed.
         """
-        missed = self._missed.get(address, 0) + 1
-        self._missed[address] = missed
-        if missed <= _MOST_MISSED or address in self._seeds:
+        failed_dials = self._failed_dials.get(address, 0) + 1
+        self._failed_dials[address] = failed_dials
+        if failed_dials <= _MAX_FAILED_DIALS or address in self._seeds:
             return False
-        self._missed.pop(address)
+        self._failed_dials.pop(address)
         return True
--- a/wingfall/gateway/peers/peer_dialer.py
+++ b/wingfall/gateway/peers/peer_dialer.py
@@ -1,7 +1,7 @@
-"""Connects to gateways that are known and not connected.
+"""Connects to known gateways that are not connected yet.
 
-Owns the rounds of dials; which addresses there are, and which are due, is the
-matter of :mod:`wingfall.gateway.peers.peer_addresses`.
+Owns the rounds of dials; :mod:`wingfall.gateway.peers.peer_addresses` holds the
+addresses and chooses which to dial.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
     from wingfall.gateway.peers.peer_addresses import PeerAddresses
     from wingfall.supervisor import Supervisor
 
-# Seconds for a connect. A slow link may need several tries.
-_CONNECT_S: Final = 1
-# Milliseconds between two rounds of dials.
-_DIAL_MS: Final = 300
+# Timeout of a connect. A slow link may need several attempts.
+_CONNECT_TIMEOUT_S: Final = 1
+# Time between two rounds of dials.
+_DIAL_INTERVAL_MS: Final = 300
 
 
 @final
 class PeerDialer:
-    """Dials until the process stops."""
+    """Dials peers until the process stops."""
 
     __slots__ = ('_addresses', '_connected', '_run', '_supervisor')
 
@@ -39,48 +39,50 @@
         run: Callable[[socket.socket], None],
         supervisor: Supervisor,
     ) -> None:
-        """Set up the dials; none is made yet.
+        """Create a dialer that has not dialed yet.
 
-        :param addresses: where gateways may be found.
-        :param connected: tells the addresses of the connected peers.
-        :param run: holds a session over a connection until it ends.
-        :param supervisor: tells when to stop.
+        :param addresses: known addresses of other gateways.
+        :param connected: returns the addresses of the connected peers.
+        :param run: runs a session on a socket until the session ends.
+        :param supervisor: signals when to stop.
         """
         self._addresses = addresses
         self._connected = connected
         self._run = run
         self._supervisor = supervisor
 
-    def dial_forever(self, note_forgotten: Callable[[], None]) -> None:
-        """Dial what is due, again and again.
+    def dial_forever(self, on_removed: Callable[[], None]) -> None:
+        """Dial some missing peers in each round, until the process stops.
 
-        :param note_forgotten: called when an address was missed so often that
-            it is forgotten.
+        :param on_removed: called when an address is removed after too
+            many failed dials.
         """
         while not self._supervisor.stopped:
             connected = set(self._connected())
             for address in self._addresses.choose_dials(connected):
-                gevent.spawn(self._dial, address, note_forgotten)
-            gevent.sleep(_DIAL_MS / MS_PER_S)
+                gevent.spawn(self._dial, address, on_removed)
+            gevent.sleep(_DIAL_INTERVAL_MS / MS_PER_S)
 
-    def _dial(self, address: str, note_forgotten: Callable[[], None]) -> None:
+    def _dial(self, address: str, on_removed: Callable[[], None]) -> None:
         self._addresses.begin_dial(address)
         try:
-            self._connect(address, note_forgotten)
+            self._connect(address, on_removed)
         finally:
             self._addresses.end_dial(address)
 
     def _connect(
         self,
         address: str,
-        note_forgotten: Callable[[], None],
+        on_removed: Callable[[], None],
     ) -> None:
         host, _colon, port = address.rpartition(':')
         try:
-            sock = socket.create_connection((host, int(port)), _CONNECT_S)
+            sock = socket.create_connection(
+                (host, int(port)), _CONNECT_TIMEOUT_S
+            )
         except OSError:
             if self._addresses.note_missed(address):
-                note_forgotten()
+                on_removed()
             return
         self._addresses.note_reached(address)
         self._run(sock)
--- a/wingfall/gateway/peers/peer_session.py
+++ b/wingfall/gateway/peers/peer_session.py
@@ -1,6 +1,6 @@
-"""One connection between two gateways, and what the peer has told.
+"""A connection between two gateways, and the state that the peer reported.
 
-Which of two connections with the same peer is kept is decided here.
+Also decides which of two connections with the same peer is kept.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @final
 class PeerSession:
-    """One connection to another gateway, whoever opened it."""
+    """A connection to another gateway, opened by either side."""
 
     __slots__ = (
         'address',
@@ -46,11 +46,11 @@
         connection: Connection,
         dialed: bool = False,
     ) -> None:
-        """Take over a connection after the first message.
+        """Create a session after the hello of the peer.
 
-        :param hello: the first message.
-        :param connection: the connection.
-        :param dialed: whether this side opened it.
+        :param hello: first message of the peer.
+        :param connection: connection to the peer.
+        :param dialed: whether this gateway opened the connection.
         """
         self.name = hello.name
         self.address = hello.address
@@ -60,33 +60,33 @@
         self.connection = connection
         self.leaving = False
         self.watching = False
-        # Whether the peer knows what engines keep.
+        # Whether the peer knows the cached prompt parts of engines.
         self.knows_caches = False
         self.last_seen_ms = 0
-        # When the peer was last told again of crashes that it had missed.
+        # When crashes that the peer had missed were last resent to it.
         self.crashes_told_ms: float = float('-inf')
-        # The same for what endpoints have said.
+        # When signals of endpoints that it had missed were last resent.
         self.signals_told_ms: float = float('-inf')
-        # Whether the peer tells that it holds the lease of the duties.
+        # Whether the peer reports that it holds the lease of the duties.
         self.holds_lease = False
-        # The revision up to which the peer was told this gateway's counts.
+        # Revision up to which this gateway's counts were sent to the peer.
         self.counts_told = 0
-        # How many other zones the peer hears.
+        # Number of other availability zones that the peer receives data from.
         self.reach = 0
-        # What the peer is being given, by kind.
+        # Transfers of objects to the peer in progress, by kind.
         self.outgoing: dict[str, OutgoingTransfer] = {}
-        # Since when this gateway has been behind the peer, by kind.
+        # Since when the peer has had a newer revision, by kind.
         self.behind_since_ms: dict[str, int] = {}
 
     def replaces(self, known: PeerSession, own_name: str) -> bool:
-        """Tell whether this session is kept, and not one that there is.
+        """Check if this session replaces an existing one with the same peer.
 
         When two gateways connect to each other at the same time, both keep
-        the connection that the first by rank opened.
+        the connection that the gateway of lower rank opened.
 
-        :param known: a session with the same peer.
+        :param known: existing session with the same peer.
         :param own_name: name of this gateway.
-        :returns: whether this one is kept.
+        :returns: whether this session replaces the existing one.
         """
         if known.incarnation != self.incarnation:
             return True
--- a/wingfall/gateway/peers/ranking.py
+++ b/wingfall/gateway/peers/ranking.py
@@ -1,4 +1,4 @@
-"""An order of gateways that all of them agree on without a word."""
+"""An order of gateways that all gateways derive from their names alone."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def rank(name: str) -> bytes:
-    """Order gateways the same way everywhere.
+    """Return the rank of a gateway, the same on every gateway.
 
-    :param name: name of a gateway.
-    :returns: what it is sorted by.
+    :param name: name of the gateway.
+    :returns: sort key of the gateway.
     """
     return hashlib.sha256(name.encode()).digest()
