--- a/tests/fake_connection.py
+++ b/tests/fake_connection.py
@@ -1,4 +1,4 @@
-"""A connection to a peer that keeps what is sent."""
+"""A fake connection to a peer that records the sent messages."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 @final
 class FakeConnection:
-    """Keeps what is sent."""
+    """A connection that records the sent messages."""
 
     def __init__(self) -> None:
-        """Start with nothing sent."""
+        """Create a connection without sent messages."""
         self.sent: list[Message] = []
 
     def send(self, message: Message) -> None:
-        """Keep a message.
+        """Record a sent message.
 
-        :param message: the message.
+        :param message: message to record.
         """
         self.sent.append(message)
 
 
 def make_peer(name: str, zone: str) -> PeerSession:
-    """Make a session with a peer that only listens.
+    """Create a session with a peer over a fake connection.
 
     :param name: name of the peer.
-    :param zone: its availability zone.
-    :returns: the session.
+    :param zone: availability zone of the peer.
+    :returns: session with the peer.
     """
     hello = GatewayHello(name=name, address=name, known=[], zone=zone)
     return PeerSession(hello=hello, connection=FakeConnection())
--- a/wingfall/gateway/peers/peer_view.py
+++ b/wingfall/gateway/peers/peer_view.py
@@ -1,4 +1,4 @@
-"""What a gateway sees of its peers, for who watches the store and who leads."""
+"""Order of a gateway among its peers, for the store watch and the lease."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @final
 class PeerView:
-    """Which peers go before this gateway in the order that all agree on."""
+    """View of the peers that precede this gateway in the common order."""
 
     __slots__ = ('_addresses', '_clock', '_name', '_sessions', '_watch_duty')
 
@@ -34,12 +34,12 @@
         sessions: Mapping[str, PeerSession],
         addresses: PeerAddresses,
     ) -> None:
-        """Look at sessions that another part owns.
+        """Create a view of sessions, which stay owned by the caller.
 
         :param name: name of this gateway.
-        :param clock: the time.
-        :param sessions: the sessions with connected peers by name.
-        :param addresses: where other gateways may be found.
+        :param clock: clock of this gateway.
+        :param sessions: sessions with connected peers by name.
+        :param addresses: known addresses of other gateways.
         """
         self._name = name
         self._clock = clock
@@ -51,27 +51,28 @@
     def holds_watch(self) -> bool:
         """Whether this gateway shall watch the store.
 
-        Some gateways watch, the same for all who hear each other; one that
-        isn't heard for a moment is replaced by the next.
+        Connected gateways agree on the watchers; a watcher that is silent for
+        a moment is replaced by the next gateway in the order.
         """
-        # Who watches is heard each second, however many gateways there are.
-        before = self._peers_before(seen_within_ms(1))
+        # Watchers send each second, however many gateways there are.
+        before = self._preceding_peers(seen_within_ms(1))
         return self._watch_duty.holds(before, self._clock.now_ms())
 
     @property
     def leads(self) -> bool:
-        """Whether this gateway shall be among the first to ask a lost store."""
+        """Whether this gateway is among the first to retry a lost store."""
         within_ms = seen_within_ms(len(self._sessions))
-        return len(self._peers_before(within_ms)) < WATCHERS
+        return len(self._preceding_peers(within_ms)) < WATCHERS
 
     def look(self) -> Peering:
-        """Tell what is seen of the others, for who stands for the lease.
+        """Return a snapshot of the peers, for eligibility for the lease.
 
-        :returns: how many go before this gateway, are heard, and are known.
+        :returns: preceding, connected and known peers, and whether a
+            connected peer holds the lease.
         """
         within_ms = seen_within_ms(len(self._sessions))
         return Peering(
-            before=len(self._peers_before(within_ms)),
+            before=len(self._preceding_peers(within_ms)),
             heard=frozenset(self._sessions),
             known=self._addresses.count,
             holder_heard=any(
@@ -79,7 +80,7 @@
             ),
         )
 
-    def _peers_before(self, within_ms: int) -> list[PeerSession]:
+    def _preceding_peers(self, within_ms: int) -> list[PeerSession]:
         seen_since_ms = self._clock.now_ms() - within_ms
         sessions = self._sessions.values()
         return peers_before(self._name, sessions, seen_since_ms)
--- a/wingfall/gateway/peers/watch_duty.py
+++ b/wingfall/gateway/peers/watch_duty.py
@@ -1,7 +1,7 @@
-"""Which gateways watch the store for the others.
+"""Choice of the gateways that watch the store for the others.
 
-All gateways that hear each other come to the same answer; owns only since when
-there have been too few.
+Connected gateways arrive at the same choice. The only state is the time since
+when there have been too few watchers.
 """
 
 from __future__ import annotations
@@ -15,43 +15,43 @@
 
     from wingfall.gateway.peers.peer_session import PeerSession
 
-# One watcher may end and one be cut from the store, and changes still come.
+# Changes still arrive if one watcher ends and one is cut off from the store.
 WATCHERS: Final = 3
-# Until the others hear that a gateway has stepped in: it looks each 0.1 s,
-# asks the store, and tells with its next heartbeat, 0.1 s later at most.
-_WAVE_MS: Final = 500
+# Time until peers know that a gateway has started to watch: it checks each
+# 0.1 s, asks the store, and reports in its next heartbeat within 0.1 s.
+_WAVE_INTERVAL_MS: Final = 500
 
 
 @final
 class WatchDuty:
-    """Decides whether this gateway watches, in an order that all agree on.
+    """Decides whether this gateway watches the store, by the common order.
 
-    When some of the first no longer hear the store, those next in order step
-    in, twice as many with each wave. Without the waves all gateways would do
-    so at once, and a store with long objects would send each of them a list.
+    When some of the first gateways lose the store, the next in order start to
+    watch, twice as many with each wave. Without waves all gateways would do so
+    at once, and a store with long objects would send each of them a list.
     """
 
-    __slots__ = ('_short_since_ms',)
+    __slots__ = ('_too_few_since_ms',)
 
     def __init__(self) -> None:
-        """Start with no watcher missing."""
-        # Since when there have been too few watchers before this gateway.
-        self._short_since_ms: int | None = None
+        """Initialize the duty with no watcher missing."""
+        # Since when too few watchers have preceded this gateway.
+        self._too_few_since_ms: int | None = None
 
     def holds(self, before: Collection[PeerSession], now_ms: int) -> bool:
-        """Tell whether this gateway shall watch the store.
+        """Check if this gateway shall watch the store.
 
-        :param before: peers that are heard and stand before it in the order.
-        :param now_ms: the time.
-        :returns: whether it shall.
+        :param before: live peers that precede this gateway in the order.
+        :param now_ms: current time in milliseconds.
+        :returns: whether this gateway shall watch.
         """
         watching = sum(each.watching for each in before)
         if watching >= WATCHERS:
-            self._short_since_ms = None
+            self._too_few_since_ms = None
             return False
-        if self._short_since_ms is None:
-            self._short_since_ms = now_ms
-        waves = 1 + (now_ms - self._short_since_ms) // _WAVE_MS
+        if self._too_few_since_ms is None:
+            self._too_few_since_ms = now_ms
+        waves = 1 + (now_ms - self._too_few_since_ms) // _WAVE_INTERVAL_MS
         return len(before) < WATCHERS * 2**waves
 
 
@@ -60,12 +60,12 @@
     sessions: Iterable[PeerSession],
     seen_since_ms: int,
 ) -> list[PeerSession]:
-    """List the peers that stand before a gateway in the order of all.
+    """List the live peers that precede a gateway in the common order.
 
     :param name: name of the gateway.
-    :param sessions: its connected peers.
-    :param seen_since_ms: since when a peer must have been seen.
-    :returns: those that were seen, stay, and come first.
+    :param sessions: sessions with its connected peers.
+    :param seen_since_ms: earliest time of the last message of a live peer.
+    :returns: sessions with live peers that are not leaving and rank lower.
     """
     own_rank = rank(name)
     return [
