--- a/tests/peer_standin.py
+++ b/tests/peer_standin.py
@@ -1,4 +1,4 @@
-"""A gateway that only answers what its peers ask, behind a slow link."""
+"""A peer behind a slow link that only answers requests of gateways."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 
 HOST: Final = '127.0.0.1'
 ZONE: Final = 'osl-a'
-_HEARTBEAT_S: Final = 0.1
+_HEARTBEAT_INTERVAL_S: Final = 0.1
 _SEND_BUFFER_BYTES: Final = 32_768
 
 
 @final
 class PeerStandIn:
-    """A peer with a copy of the configuration, reached over one link only."""
+    """A peer with a copy of the configuration, reachable over one link."""
 
     def __init__(self, *, name: str, bandwidth: Bandwidth) -> None:
-        """Start to listen.
+        """Start to accept connections.
 
-        :param name: its name.
-        :param bandwidth: bounds what it sends, together with others.
+        :param name: name of the peer.
+        :param bandwidth: limit on sent data, shared with other links.
         """
         self._name = name
         self._replica = ObjectReplica(
@@ -55,17 +55,17 @@
         )
 
     def learn(self, revision: int, spec: dict[str, Any]) -> None:
-        """Read a configuration from the store.
+        """Apply a configuration as if read from the store.
 
-        :param revision: the store's revision.
-        :param spec: the configuration.
+        :param revision: revision of the store.
+        :param spec: configuration to apply.
         """
         stored = StoredObject(name='main', revision=revision, spec=spec)
         reading = StoreReading(revision=revision, objects=[stored])
         self._replica.apply_changes(reading)
 
     def stop(self) -> None:
-        """End all connections."""
+        """Close the port and the link."""
         self._server.stop(timeout=0)
         self.link.close()
 
@@ -76,13 +76,13 @@
         connection.allow_large()
         connection.set_timeout(silence_ms(1))
         connection.send(self._hello())
-        beats = gevent.spawn(self._beat, connection)
+        heartbeats = gevent.spawn(self._send_heartbeats, connection)
         try:
             self._serve(connection)
         except WireError:
             connection.close()
         finally:
-            beats.kill()
+            heartbeats.kill()
             connection.close()
 
     def _serve(self, connection: Connection) -> None:
@@ -94,7 +94,7 @@
             elif isinstance(message, ObjectsFetch) and session is not None:
                 self._exchange.answer(session, message)
 
-    def _beat(self, connection: Connection) -> None:
+    def _send_heartbeats(self, connection: Connection) -> None:
         while not connection.closed:
             connection.send(
                 GatewayHeartbeat(
@@ -106,7 +106,7 @@
                     watching=True,
                 ),
             )
-            gevent.sleep(_HEARTBEAT_S)
+            gevent.sleep(_HEARTBEAT_INTERVAL_S)
 
     def _hello(self) -> GatewayHello:
         return GatewayHello(
--- a/wingfall/gateway/peers/duty_exchange.py
+++ b/wingfall/gateway/peers/duty_exchange.py
@@ -1,8 +1,8 @@
-"""What gateways tell each other for the duties.
+"""Exchange of usage counts and report progress between gateways.
 
-Counts go to the few gateways that may have to report them: to the first in an
-order that all agree on, and to the holder of the lease. The holder tells all
-how far it is.
+Counts are sent to the few gateways that may have to report them: the first in
+the common order, and the holder of the lease. The holder sends its progress to
+all gateways.
 """
 
 from __future__ import annotations
@@ -20,26 +20,26 @@
     from wingfall.gateway.knowledge.usage_counts import UsageCounts
     from wingfall.gateway.peers.peer_session import PeerSession
 
-# Gateways that hear all counts, besides the holder: one may end and one be cut
-# off, and what a gateway counted before it ended is still reported.
-_KEEPERS: Final = 3
-# Milliseconds between two tellings of counts: so much of them is lost with a
-# gateway that is killed, a tenth of a window of five seconds on average.
-_TELL_MS: Final = 1000
-# Fields of what is told; later programs may add some.
-_FIELDS: Final = 4
+# Gateways that receive all counts, besides the lease holder: if one ends and
+# one is cut off, the counts of a gateway that has ended are still reported.
+_COUNT_RECIPIENTS: Final = 3
+# Time between two reports of counts. A killed gateway loses the counts since
+# its last report, a tenth of a window of five seconds on average.
+_COUNTS_INTERVAL_MS: Final = 1000
+# Fields of a report; later versions may add more.
+_FIELD_COUNT: Final = 4
 
 
 @final
 class DutyExchange:
-    """Tells counts and progress, and takes what peers tell."""
+    """Encodes counts and progress for peers, and merges their reports."""
 
     __slots__ = (
         '_clock',
         '_counts',
         '_lease',
-        '_sent',
-        '_told_ms',
+        '_sent_state',
+        '_counts_sent_ms',
         '_true_time',
     )
 
@@ -51,27 +51,27 @@
         counts: UsageCounts,
         lease: Lease,
     ) -> None:
-        """Start with nothing told.
+        """Create an exchange that has not reported anything.
 
-        :param clock: the steady clock.
-        :param true_time: takes the time of day that peers tell.
-        :param counts: the counts of all gateways, and how far reports are.
-        :param lease: the lease of the duties.
+        :param clock: monotonic clock.
+        :param true_time: receives the time of day that peers report.
+        :param counts: usage counts of all gateways, and report progress.
+        :param lease: lease of the duties.
         """
         self._clock = clock
         self._true_time = true_time
         self._counts = counts
         self._lease = lease
-        self._told_ms: float = float('-inf')
-        # Whether the lease is held and how far reports are, as all were told.
-        self._sent = (False, 0)
+        self._counts_sent_ms: float = float('-inf')
+        # Last state sent to all peers: lease held, and progress of reports.
+        self._sent_state = (False, 0)
 
     def greet(self) -> list[Any]:
-        """Write where this gateway stands, for a new session.
+        """Encode the state of this gateway without counts, for a new session.
 
-        :returns: the field of a heartbeat.
+        :returns: duties field of a heartbeat.
         """
-        return self._write([])
+        return self._encode([])
 
     def due(
         self,
@@ -79,39 +79,42 @@
         *,
         at_once: bool = False,
     ) -> Iterator[tuple[PeerSession, list[Any]]]:
-        """Write what peers are told now.
+        """Encode the reports that are due.
 
-        :param sessions: the connected peers.
-        :param at_once: whether to tell counts that are not due yet.
-        :yields: each peer that is told something, and the field of a
-            heartbeat.
+        :param sessions: sessions with the connected peers.
+        :param at_once: whether to send counts before the interval has passed.
+        :yields: session to report to, and the duties field of its heartbeat.
         """
         state = (self._lease.held, self._counts.delivered)
-        tells_all = state != self._sent and (state[0] or self._sent[0])
-        self._sent = state
+        reports_to_all = state != self._sent_state and (
+            state[0] or self._sent_state[0]
+        )
+        self._sent_state = state
         now_ms = self._clock.now_ms()
-        counts_due = at_once or now_ms - self._told_ms >= _TELL_MS
+        counts_due = (
+            at_once or now_ms - self._counts_sent_ms >= _COUNTS_INTERVAL_MS
+        )
         if counts_due:
-            self._told_ms = now_ms
-        keepers = _choose_keepers(sessions) if counts_due else []
+            self._counts_sent_ms = now_ms
+        recipients = _choose_recipients(sessions) if counts_due else []
         for session in sessions:
             entries: list[Any] = []
-            if session in keepers:
+            if session in recipients:
                 entries = self._counts.changes_since(session.counts_told)
                 session.counts_told = self._counts.revision
-            if entries or tells_all:
-                yield session, self._write(entries)
+            if entries or reports_to_all:
+                yield session, self._encode(entries)
 
     def take(self, session: PeerSession, told: list[Any]) -> None:
-        """Take what a peer tells.
+        """Merge a report of a peer.
 
-        :param session: the peer.
-        :param told: the field of its heartbeat.
+        :param session: session with the peer.
+        :param told: duties field of the peer's heartbeat.
         """
-        if len(told) < _FIELDS:
+        if len(told) < _FIELD_COUNT:
             return
-        delivered, holds, true_ms, entries = told[:_FIELDS]
-        session.holds_lease = holds
+        delivered, holds_lease, true_ms, entries = told[:_FIELD_COUNT]
+        session.holds_lease = holds_lease
         self._true_time.note_peer(session.name, true_ms)
         self._counts.note_delivered(delivered)
         if entries:
@@ -119,13 +122,13 @@
             self._counts.take(source, entries)
 
     def forget(self, session: PeerSession) -> None:
-        """Forget the time of day of a peer that is gone; its counts stay.
+        """Remove the time of day of a disconnected peer; its counts stay.
 
-        :param session: the session that ended.
+        :param session: session that ended.
         """
         self._true_time.forget(session.name)
 
-    def _write(self, entries: list[Any]) -> list[Any]:
+    def _encode(self, entries: list[Any]) -> list[Any]:
         return [
             self._counts.delivered,
             self._lease.held,
@@ -134,12 +137,12 @@
         ]
 
 
-def _choose_keepers(sessions: Iterable[PeerSession]) -> list[PeerSession]:
+def _choose_recipients(sessions: Iterable[PeerSession]) -> list[PeerSession]:
     staying = [each for each in sessions if not each.leaving]
-    first = sorted(staying, key=_rank)[:_KEEPERS]
+    first = sorted(staying, key=_session_rank)[:_COUNT_RECIPIENTS]
     holders = [each for each in staying if each.holds_lease]
     return [*first, *(each for each in holders if each not in first)]
 
 
-def _rank(session: PeerSession) -> bytes:
+def _session_rank(session: PeerSession) -> bytes:
     return rank(session.name)
