--- a/wingfall/gateway/peers/peer_dialer.py
+++ b/wingfall/gateway/peers/peer_dialer.py
@@ -42,7 +42,7 @@
         """Create a dialer that has not dialed yet.
 
         :param addresses: known addresses of other gateways.
-        :param connected: returns the addresses of the connected peers.
+        :param connected: returns addresses of the connected peers.
         :param run: runs a session on a socket until the session ends.
         :param supervisor: signals when to stop.
         """
