--- a/tests/load_replay.py
+++ b/tests/load_replay.py
@@ -243,7 +243,7 @@
             clock=clock,
             rates=rates,
             starts=starts(fixed_time=rates.fixed_ms),
-            full_gaps=FullGaps(clock=clock, tells=True),
+            full_gaps=FullGaps(clock=clock, reports_gaps=True),
         )
         self.session = SimpleNamespace(name=name, zone='a')
         self.exchange = LoadExchange(
--- a/tests/test_full_gaps.py
+++ b/tests/test_full_gaps.py
@@ -42,7 +42,7 @@
 
 
 def test_gaps_are_told_once_and_few_of_them(clock: ManualClock):
-    gaps = FullGaps(clock=clock, tells=True)
+    gaps = FullGaps(clock=clock, reports_gaps=True)
     for _stream in range(20):
         gaps.find('e').note(90)
     reported = gaps.take_untold()
@@ -51,7 +51,7 @@
     # The recent gaps suffice for all gateways.
     gaps.find('e').note(90)
     assert gaps.take_untold() == []
-    receiver = FullGaps(clock=clock, tells=True)
+    receiver = FullGaps(clock=clock, reports_gaps=True)
     for name, *gaps_ms in reported:
         receiver.take_told(name, gaps_ms)
     assert receiver.find('e').gaps_ms == [90, 90, 90, 90]
@@ -59,11 +59,11 @@
 
 
 def test_gateway_that_starts_is_told_enough(clock: ManualClock):
-    gaps = FullGaps(clock=clock, tells=True)
+    gaps = FullGaps(clock=clock, reports_gaps=True)
     for gap_ms in range(80, 100):
         gaps.find('e').note(gap_ms)
     assert gaps.write_all() == [['e', 94, 95, 96, 97, 98, 99]]
-    started = FullGaps(clock=clock, tells=True)
+    started = FullGaps(clock=clock, reports_gaps=True)
     for name, *gaps_ms in gaps.write_all():
         started.take_told(name, gaps_ms)
     assert started.find('e').typical_ms is not None
@@ -77,7 +77,7 @@
 
 
 def test_engines_that_are_gone_are_forgotten(clock: ManualClock):
-    gaps = FullGaps(clock=clock, tells=True)
+    gaps = FullGaps(clock=clock, reports_gaps=True)
     gaps.find('e').note(90)
     gaps.keep_only(set())
     assert gaps.find('e').gaps_ms == []
--- a/wingfall/gateway/assembly.py
+++ b/wingfall/gateway/assembly.py
@@ -63,7 +63,7 @@
         starts=policies.start_estimates(fixed_time=rates.fixed_ms),
         full_gaps=FullGaps(
             clock=clock,
-            tells=policies.engine_groups is not keep_none,
+            reports_gaps=policies.engine_groups is not keep_none,
         ),
         large_pool=settings.policy.large_pool,
         short_gap_ms=settings.policy.short_gap_ms,
--- a/wingfall/gateway/knowledge/full_gaps.py
+++ b/wingfall/gateway/knowledge/full_gaps.py
@@ -112,14 +112,14 @@
 
     __slots__ = ('_clock', '_reports_gaps', '_windows')
 
-    def __init__(self, *, clock: Clock, tells: bool = False) -> None:
+    def __init__(self, *, clock: Clock, reports_gaps: bool = False) -> None:
         """Initialize the gaps as empty.
 
         :param clock: the clock by which gaps age.
-        :param tells: whether gaps are reported to other gateways.
+        :param reports_gaps: whether gaps are reported to other gateways.
         """
         self._clock = clock
-        self._reports_gaps = tells
+        self._reports_gaps = reports_gaps
         self._windows: dict[str, GapWindow] = {}
 
     def find(self, engine: str) -> GapWindow:
