--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -263,7 +263,7 @@
         ramp_up = self._ramp_ups.get(endpoint)
         if ramp_up is None or ramp_up.until_ms != until_ms:
             jitter = draw_part(self._name, endpoint)
-            ramp_up = RestReturn(until_ms=until_ms, part=jitter)
+            ramp_up = RestReturn(until_ms=until_ms, jitter=jitter)
             self._ramp_ups[endpoint] = ramp_up
         return None if ramp_up.is_over(now_ms) else ramp_up
 
--- a/wingfall/gateway/rules/pacing/rest_return.py
+++ b/wingfall/gateway/rules/pacing/rest_return.py
@@ -41,15 +41,15 @@
 
     __slots__ = ('_bucket', 'start_ms', 'until_ms')
 
-    def __init__(self, *, until_ms: int, part: float) -> None:
+    def __init__(self, *, until_ms: int, jitter: float) -> None:
         """Create the ramp-up for one rest.
 
         :param until_ms: time at which the rest ends, in milliseconds.
-        :param part: this gateway's jitter, from 0 to 1.
+        :param jitter: this gateway's jitter, from 0 to 1.
         """
         self.until_ms = until_ms
         # Time at which the first request may be sent.
-        self.start_ms = until_ms + int(part * _MAX_JITTER_MS)
+        self.start_ms = until_ms + int(jitter * _MAX_JITTER_MS)
         refill_start_ms = self.start_ms - MS_PER_S // RETURN_RATE
         self._bucket = Pace(rate=RETURN_RATE, now_ms=refill_start_ms)
 
