--- a/wingfall/gateway/callers/caller_connection.py
+++ b/wingfall/gateway/callers/caller_connection.py
@@ -211,7 +211,7 @@
     def _make_reply(self) -> Reply:
         return Reply(
             write=self._write,
-            closing=lambda: self._closing or self._state.draining,
+            is_closing=lambda: self._closing or self._state.draining,
             now_ms=self._state.clock.now_ms,
         )
 
--- a/wingfall/gateway/calls/reply.py
+++ b/wingfall/gateway/calls/reply.py
@@ -54,17 +54,17 @@
         self,
         *,
         write: EventWriter,
-        closing: Callable[[], bool],
+        is_closing: Callable[[], bool],
         now_ms: Callable[[], int],
     ) -> None:
         """Create an answer of which nothing is written yet.
 
         :param write: writes h11 events to the caller.
-        :param closing: returns if the connection closes after the answer.
+        :param is_closing: returns if the connection closes after the answer.
         :param now_ms: returns the time in milliseconds.
         """
         self._write = write
-        self._is_closing = closing
+        self._is_closing = is_closing
         self.now_ms = now_ms
         self.started = False
         self.finished = False
