--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -129,7 +129,7 @@
         self._ready_server = HttpServer(
             app=make_ready_app(
                 path=self._state.binding.ready_path,
-                not_ready=self.not_ready,
+                not_ready_reason=self.not_ready,
             ),
             address=parse_address(settings.readiness),
         )
--- a/wingfall/gateway/callers/readiness.py
+++ b/wingfall/gateway/callers/readiness.py
@@ -14,18 +14,18 @@
 def make_ready_app(
     *,
     path: str,
-    not_ready: Callable[[], str],
+    not_ready_reason: Callable[[], str],
 ) -> bottle.Bottle:
     """Create the WSGI application of the readiness port.
 
     :param path: path that the load balancer requests.
-    :param not_ready: returns why the gateway isn't ready, or ''.
+    :param not_ready_reason: returns why the gateway isn't ready, or ''.
     :returns: the application.
     """
     app = bottle.Bottle()
 
     def show_readiness() -> bottle.HTTPResponse:
-        reason = not_ready()
+        reason = not_ready_reason()
         if reason:
             status = http.HTTPStatus.SERVICE_UNAVAILABLE
         else:
