--- a/wingfall/gateway/calls/attempt.py
+++ b/wingfall/gateway/calls/attempt.py
@@ -124,7 +124,7 @@
         connection = self._connections.take(
             self._destination.endpoint,
             timeout_ms=limits.first_byte_ms - self._now_ms(),
-            kept=call.idempotent,
+            allow_reuse=call.idempotent,
         )
         self._connection = connection
         self._sent_ms = self._now_ms()
--- a/wingfall/gateway/endpoints/kept_connections.py
+++ b/wingfall/gateway/endpoints/kept_connections.py
@@ -40,13 +40,13 @@
         endpoint: PoolEndpoint,
         *,
         timeout_ms: int,
-        kept: bool,
+        allow_reuse: bool,
     ) -> EndpointConnection:
         """Return a connection to an endpoint for a request to be sent now.
 
         :param endpoint: endpoint to connect to.
         :param timeout_ms: maximum milliseconds to establish a new connection.
-        :param kept: whether an idle connection may be reused.
+        :param allow_reuse: whether an idle connection may be reused.
         :returns: a connection, owned by the caller.
         :raises NotConnectedError: if the connection can't be established.
         :raises HeldError: if the endpoint takes no request now.
@@ -57,7 +57,7 @@
         if withheld is not None:
             raise HeldError(withheld)
         connection = self._reuse_or_connect(
-            endpoint, timeout_ms, allow_reuse=kept
+            endpoint, timeout_ms, allow_reuse=allow_reuse
         )
         # A signal of the endpoint may have arrived during the connect.
         withheld = self._gate.take(endpoint.name)
--- a/wingfall/gateway/peers/caches/memory_survey.py
+++ b/wingfall/gateway/peers/caches/memory_survey.py
@@ -155,7 +155,7 @@
             connection = connections.take(
                 engine,
                 timeout_ms=_ANSWER_TIMEOUT_MS,
-                kept=False,
+                allow_reuse=False,
             )
             answer = self._send_request(engine, connection)
         except (NotConnectedError, AnswerBrokenError, AnswerLateError) as error:
