--- a/wingfall/gateway/endpoints/kept_connections.py
+++ b/wingfall/gateway/endpoints/kept_connections.py
@@ -81,12 +81,12 @@
         else:
             connection.close()
 
-    def forget(self, names: set[str]) -> None:
+    def forget(self, listed: set[str]) -> None:
         """Close expired connections and those to unlisted endpoints.
 
-        :param names: names of the listed endpoints.
+        :param listed: names of the listed endpoints.
         """
-        for name in self._idle.keys() - names:
+        for name in self._idle.keys() - listed:
             for connection in self._idle.pop(name):
                 connection.close()
         for idle in self._idle.values():
