--- a/tests/rate_world.py
+++ b/tests/rate_world.py
@@ -238,7 +238,7 @@
         for name, gateway in self.gateways.items():
             is_partitioned = name in self._partitioned
             gateway.gate.note_gateways(
-                heard=[
+                connected=[
                     each
                     for each in visible
                     if each != name
--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -92,18 +92,18 @@
 
     def note_gateways(
         self,
-        heard: Iterable[str],
+        connected: Iterable[str],
         stopping: Iterable[str],
         known: int,
     ) -> None:
         """Record the gateways that limits are divided among.
 
-        :param heard: names of the connected peers.
+        :param connected: names of the connected peers.
         :param stopping: names of the connected peers that send no new requests.
         :param known: number of gateways, including unconnected peers.
         """
         now_ms = self._clock.now_ms()
-        sending = {self._name, *heard}.difference(stopping)
+        sending = {self._name, *connected}.difference(stopping)
         for removed in self._gateways - sending:
             self._silent_since_ms.setdefault(removed, now_ms)
         for present in sending.union(stopping):
--- a/wingfall/gateway/peers/shared_bounds.py
+++ b/wingfall/gateway/peers/shared_bounds.py
@@ -54,7 +54,7 @@
         self._blocks.set_peers(sessions)
         self._budget.share_among(count)
         self._gate.note_gateways(
-            heard=sessions,
+            connected=sessions,
             stopping=[each.name for each in sessions.values() if each.leaving],
             known=count,
         )
