--- a/tests/rate_world.py
+++ b/tests/rate_world.py
@@ -248,5 +248,5 @@
                     )
                 ],
                 stopping=[],
-                known=len(visible),
+                gateway_count=len(visible),
             )
--- a/tests/test_sending_gate.py
+++ b/tests/test_sending_gate.py
@@ -81,17 +81,17 @@
 def test_part_of_a_silent_gateway_is_not_used_at_once(
     gate: SendingGate, signals: EndpointSignals, clock: ManualClock
 ):
-    gate.note_gateways(connected=['g2', 'g3'], stopping=[], known=3)
-    gate.note_gateways(connected=['g2'], stopping=[], known=2)
+    gate.note_gateways(connected=['g2', 'g3'], stopping=[], gateway_count=3)
+    gate.note_gateways(connected=['g2'], stopping=[], gateway_count=2)
     assert gate.gateways == {'g1', 'g2', 'g3'}
     clock.advance(3000)
-    gate.note_gateways(connected=['g2'], stopping=[], known=2)
+    gate.note_gateways(connected=['g2'], stopping=[], gateway_count=2)
     assert gate.gateways == {'g1', 'g2'}
     # A gateway that announces its stop sends no new requests.
-    gate.note_gateways(connected=['g2'], stopping=['g2'], known=2)
-    gate.note_gateways(connected=['g2'], stopping=['g2'], known=2)
+    gate.note_gateways(connected=['g2'], stopping=['g2'], gateway_count=2)
+    gate.note_gateways(connected=['g2'], stopping=['g2'], gateway_count=2)
     clock.advance(3000)
-    gate.note_gateways(connected=['g2'], stopping=['g2'], known=2)
+    gate.note_gateways(connected=['g2'], stopping=['g2'], gateway_count=2)
     assert gate.gateways == {'g1'}
 
 
--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -94,13 +94,13 @@
         self,
         connected: Iterable[str],
         stopping: Iterable[str],
-        known: int,
+        gateway_count: int,
     ) -> None:
         """Record the gateways that limits are divided among.
 
         :param connected: names of the connected peers.
         :param stopping: names of the connected peers that send no new requests.
-        :param known: number of gateways, including unconnected peers.
+        :param gateway_count: number of gateways, including unconnected peers.
         """
         now_ms = self._clock.now_ms()
         sending = {self._name, *connected}.difference(stopping)
@@ -115,10 +115,10 @@
         }
         self._silent_since_ms = silent
         gateways = frozenset(sending.union(silent))
-        known = max(known, len(gateways))
-        if gateways != self._gateways or known != self._gateway_count:
+        gateway_count = max(gateway_count, len(gateways))
+        if gateways != self._gateways or gateway_count != self._gateway_count:
             self._gateways = gateways
-            self._gateway_count = known
+            self._gateway_count = gateway_count
             self._shares.clear()
 
     def why_held(self, endpoint: str) -> Held | None:
--- a/wingfall/gateway/peers/shared_bounds.py
+++ b/wingfall/gateway/peers/shared_bounds.py
@@ -56,5 +56,5 @@
         self._gate.note_gateways(
             connected=sessions,
             stopping=[each.name for each in sessions.values() if each.leaving],
-            known=count,
+            gateway_count=count,
         )
