--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -200,15 +200,15 @@
         limit_ms = min(own_ms, MS_PER_S / self.rate_of_all(endpoint))
         return max(rest_ms, limit_ms)
 
-    def is_held(self, endpoint: str, *, spared: bool) -> bool:
+    def is_held(self, endpoint: str, *, exclude_limited: bool) -> bool:
         """Check if an endpoint is excluded for a call.
 
         :param endpoint: name of the endpoint.
-        :param spared: whether limited endpoints are reserved for
+        :param exclude_limited: whether limited endpoints are reserved for
             other calls.
         :returns: whether the call must not use the endpoint now.
         """
-        if spared and self.is_limited(endpoint):
+        if exclude_limited and self.is_limited(endpoint):
             return True
         return self.why_held(endpoint) is not None
 
