--- a/wingfall/gateway/peers/objects/object_transfer.py
+++ b/wingfall/gateway/peers/objects/object_transfer.py
@@ -50,14 +50,14 @@
         """Total size of all chunks in bytes."""
         return len(self._packed)
 
-    def chunk(self, offset: int, most: int) -> bytes:
+    def chunk(self, offset: int, max_bytes: int) -> bytes:
         """Return the chunk at an offset.
 
         :param offset: offset of the first byte.
-        :param most: maximum length in bytes.
+        :param max_bytes: maximum length in bytes.
         :returns: the chunk, empty at the end of the packed bytes.
         """
-        return self._packed[offset : offset + most]
+        return self._packed[offset : offset + max_bytes]
 
 
 @final
