--- a/wingfall/gateway/peers/watch_duty.py
+++ b/wingfall/gateway/peers/watch_duty.py
@@ -38,21 +38,21 @@
         # Since when too few watchers have preceded this gateway.
         self._too_few_since_ms: int | None = None
 
-    def holds(self, before: Collection[PeerSession], now_ms: int) -> bool:
+    def holds(self, preceding: Collection[PeerSession], now_ms: int) -> bool:
         """Check if this gateway shall watch the store.
 
-        :param before: live peers that precede this gateway in the order.
+        :param preceding: live peers that precede this gateway in the order.
         :param now_ms: current time in milliseconds.
         :returns: whether this gateway shall watch.
         """
-        watching = sum(each.watching for each in before)
+        watching = sum(each.watching for each in preceding)
         if watching >= WATCHERS:
             self._too_few_since_ms = None
             return False
         if self._too_few_since_ms is None:
             self._too_few_since_ms = now_ms
         waves = 1 + (now_ms - self._too_few_since_ms) // _WAVE_INTERVAL_MS
-        return len(before) < WATCHERS * 2**waves
+        return len(preceding) < WATCHERS * 2**waves
 
 
 def peers_before(
