--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -117,7 +117,7 @@
             replicas=self._replicas,
             transfer=self._transfer,
             supervisor=self._supervisor,
-            watches=self._watches,
+            is_watching=self._watches,
             duties=self._duties
             and DutyExchange(
                 clock=self._clock,
--- a/wingfall/gateway/peers/gateway_peers.py
+++ b/wingfall/gateway/peers/gateway_peers.py
@@ -79,7 +79,7 @@
         replicas: Iterable[ObjectReplica],
         transfer: PartsTransfer,
         supervisor: Supervisor,
-        watches: Callable[[], bool],
+        is_watching: Callable[[], bool],
         is_stopping: Callable[[], bool],
         duties: DutyExchange | None = None,
     ) -> None:
@@ -96,7 +96,7 @@
         :param replicas: objects that gateways send each other.
         :param transfer: fetches cached prompt parts from a peer.
         :param supervisor: runs the background loops.
-        :param watches: whether this gateway receives the store's changes.
+        :param is_watching: whether this gateway receives the store's changes.
         :param is_stopping: whether a planned stop has begun.
         :param duties: exchanges data of the duties, None without duties.
         """
@@ -121,7 +121,7 @@
                 zone=zone,
             ),
             transfer=transfer,
-            watches=watches,
+            watches=is_watching,
             is_stopping=is_stopping,
             duties=duties,
         )
