--- a/wingfall/gateway/peers/gateway_peers.py
+++ b/wingfall/gateway/peers/gateway_peers.py
@@ -188,7 +188,7 @@
     def _dial_forever(self) -> None:
         dialer = PeerDialer(
             addresses=self._addresses,
-            connected=lambda: (
+            connected_addresses=lambda: (
                 each.address for each in self._sessions.values()
             ),
             run=lambda sock: self._run_session(sock, dialed=True),
--- a/wingfall/gateway/peers/peer_dialer.py
+++ b/wingfall/gateway/peers/peer_dialer.py
@@ -35,19 +35,19 @@
         self,
         *,
         addresses: PeerAddresses,
-        connected: Callable[[], Iterable[str]],
+        connected_addresses: Callable[[], Iterable[str]],
         run: Callable[[socket.socket], None],
         supervisor: Supervisor,
     ) -> None:
         """Create a dialer that has not dialed yet.
 
         :param addresses: known addresses of other gateways.
-        :param connected: returns addresses of the connected peers.
+        :param connected_addresses: returns addresses of the connected peers.
         :param run: runs a session on a socket until the session ends.
         :param supervisor: signals when to stop.
         """
         self._addresses = addresses
-        self._connected = connected
+        self._connected = connected_addresses
         self._run = run
         self._supervisor = supervisor
 
