--- a/wingfall/gateway/peers/gateway_peers.py
+++ b/wingfall/gateway/peers/gateway_peers.py
@@ -191,7 +191,7 @@
             connected_addresses=lambda: (
                 each.address for each in self._sessions.values()
             ),
-            run=lambda sock: self._run_session(sock, dialed=True),
+            run_session=lambda sock: self._run_session(sock, dialed=True),
             supervisor=self._supervisor,
         )
         dialer.dial_forever(self._update_bounds)
--- a/wingfall/gateway/peers/peer_dialer.py
+++ b/wingfall/gateway/peers/peer_dialer.py
@@ -36,19 +36,19 @@
         *,
         addresses: PeerAddresses,
         connected_addresses: Callable[[], Iterable[str]],
-        run: Callable[[socket.socket], None],
+        run_session: Callable[[socket.socket], None],
         supervisor: Supervisor,
     ) -> None:
         """Create a dialer that has not dialed yet.
 
         :param addresses: known addresses of other gateways.
         :param connected_addresses: returns addresses of the connected peers.
-        :param run: runs a session on a socket until the session ends.
+        :param run_session: runs a session on a socket until the session ends.
         :param supervisor: signals when to stop.
         """
         self._addresses = addresses
         self._connected = connected_addresses
-        self._run = run
+        self._run = run_session
         self._supervisor = supervisor
 
     def dial_forever(self, on_removed: Callable[[], None]) -> None:
