--- a/wingfall/gateway/peers/peer_session.py
+++ b/wingfall/gateway/peers/peer_session.py
@@ -78,18 +78,18 @@
         # Since when the peer has had a newer revision, by kind.
         self.behind_since_ms: dict[str, int] = {}
 
-    def replaces(self, known: PeerSession, own_name: str) -> bool:
+    def replaces(self, existing: PeerSession, own_name: str) -> bool:
         """Check if this session replaces an existing one with the same peer.
 
         When two gateways connect to each other at the same time, both keep
         the connection that the gateway of lower rank opened.
 
-        :param known: existing session with the same peer.
+        :param existing: existing session with the same peer.
         :param own_name: name of this gateway.
         :returns: whether this session replaces the existing one.
         """
-        if known.incarnation != self.incarnation:
+        if existing.incarnation != self.incarnation:
             return True
-        if known.dialed is self.dialed:
+        if existing.dialed is self.dialed:
             return True
         return self.dialed is (rank(own_name) < rank(self.name))
