--- a/wingfall/gateway/peers/duty_exchange.py
+++ b/wingfall/gateway/peers/duty_exchange.py
@@ -105,15 +105,15 @@
             if entries or reports_to_all:
                 yield session, self._encode(entries)
 
-    def take(self, session: PeerSession, told: list[Any]) -> None:
+    def take(self, session: PeerSession, report: list[Any]) -> None:
         """Merge a report of a peer.
 
         :param session: session with the peer.
-        :param told: duties field of the peer's heartbeat.
+        :param report: duties field of the peer's heartbeat.
         """
-        if len(told) < _FIELD_COUNT:
+        if len(report) < _FIELD_COUNT:
             return
-        delivered, holds_lease, true_ms, entries = told[:_FIELD_COUNT]
+        delivered, holds_lease, true_ms, entries = report[:_FIELD_COUNT]
         session.holds_lease = holds_lease
         self._true_time.note_peer(session.name, true_ms)
         self._counts.note_delivered(delivered)
