--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -68,7 +68,7 @@
 
     def relative_use(self, customer: str) -> float:
         """Return the use of a customer as a multiple of its share."""
-        return self.shares.find(POOL).use(customer)
+        return self.shares.find(POOL).relative_use(customer)
 
 
 class Site:
@@ -175,8 +175,8 @@
         'aker': Work(asked=2000, given=2000),
     }
     shares = PoolShares(work=work, pending_tokens=6000, now_ms=0)
-    assert shares.use(HOT) == pytest.approx(2)
-    assert shares.use('aker') == 1
+    assert shares.relative_use(HOT) == pytest.approx(2)
+    assert shares.relative_use('aker') == 1
 
 
 def test_lost_message_changes_little():
--- a/wingfall/gateway/calls/admission.py
+++ b/wingfall/gateway/calls/admission.py
@@ -100,7 +100,7 @@
     # A start in time for customers far above their shares is so for all.
     if _is_in_time(state, estimate(chosen, MOST_OVER_SHARE)):
         return Success(chosen)
-    relative_use = state.fair_shares.find(pool).use(call.customer_name)
+    relative_use = state.fair_shares.find(pool).relative_use(call.customer_name)
     if _is_in_time(state, estimate(chosen, relative_use)):
         return Success(chosen)
     capacity = find_room(
--- a/wingfall/gateway/rules/admission/fair_shares.py
+++ b/wingfall/gateway/rules/admission/fair_shares.py
@@ -103,7 +103,7 @@
             if each.asked > share
         }
 
-    def use(self, customer: str) -> float:
+    def relative_use(self, customer: str) -> float:
         """Return the use of a customer as a multiple of its share.
 
         :param customer: name of the customer.
