--- a/tests/test_held_calls.py
+++ b/tests/test_held_calls.py
@@ -5,7 +5,7 @@
 from wingfall.gateway.rules.admission.held_calls import HeldCalls, Opening
 
 POOL = 'engines'
-SLOTS = Opening(first_ms=300, every_ms=500)
+SLOTS = Opening(first_ms=300, interval_ms=500)
 
 
 def test_each_is_told_a_time_of_its_own():
--- a/wingfall/gateway/calls/held_pool.py
+++ b/wingfall/gateway/calls/held_pool.py
@@ -49,7 +49,7 @@
         ),
         holding=len(reasons),
         first_ms=int(slots.first_ms),
-        every_ms=int(slots.every_ms),
+        every_ms=int(slots.interval_ms),
         gateways=len(state.gate.gateways),
     )
     resting = set(reasons.values()) == {Held.resting}
@@ -114,4 +114,4 @@
     interval_ms = MS_PER_S * len(gate.gateways) / rate
     # Capacity that is free now is reserved for a more urgent call.
     first_ms = min(gate.opens_in_ms(name) for name in withheld) or interval_ms
-    return Opening(first_ms=first_ms, every_ms=interval_ms)
+    return Opening(first_ms=first_ms, interval_ms=interval_ms)
--- a/wingfall/gateway/rules/admission/held_calls.py
+++ b/wingfall/gateway/rules/admission/held_calls.py
@@ -24,17 +24,17 @@
 class Opening:
     """Times at which a pool with no free endpoint admits requests again."""
 
-    __slots__ = ('every_ms', 'first_ms')
+    __slots__ = ('interval_ms', 'first_ms')
 
-    def __init__(self, *, first_ms: float, every_ms: float) -> None:
+    def __init__(self, *, first_ms: float, interval_ms: float) -> None:
         """Initialize the slots.
 
         :param first_ms: milliseconds until the first endpoint takes a request.
-        :param every_ms: milliseconds from one request of this gateway to the
+        :param interval_ms: milliseconds from one request of this gateway to the
             next after that.
         """
         self.first_ms = first_ms
-        self.every_ms = every_ms
+        self.interval_ms = interval_ms
 
 
 @final
@@ -79,8 +79,8 @@
         first_ms = now_ms + slots.first_ms
         slot_ms = max(first_ms, self._unassigned_slot_ms.get(pool, 0))
         slot_ms = min(slot_ms, first_ms + _MAX_RETRY_LEAD_MS)
-        self._unassigned_slot_ms[pool] = slot_ms + slots.every_ms
-        reserved_ms = slots.first_ms + slots.every_ms * _RESERVED_SLOTS
+        self._unassigned_slot_ms[pool] = slot_ms + slots.interval_ms
+        reserved_ms = slots.first_ms + slots.interval_ms * _RESERVED_SLOTS
         reserved = self._reserved_until_ms.setdefault(pool, {})
         reserved[tier] = (
             now_ms + min(reserved_ms, _MAX_RETRY_LEAD_MS) + _RETRY_LATENCY_MS
