--- a/tests/test_held_calls.py
+++ b/tests/test_held_calls.py
@@ -32,9 +32,9 @@
 def test_what_is_free_is_kept_for_a_more_urgent_tier():
     deferred = HeldCalls()
     deferred.hold(POOL, 1, SLOTS, 1000)
-    assert deferred.gives_way(POOL, 2, 1001)
-    assert not deferred.gives_way(POOL, 1, 1001)
-    assert not deferred.gives_way(POOL, 0, 1001)
-    assert not deferred.gives_way('plain', 2, 1001)
+    assert deferred.must_yield(POOL, 2, 1001)
+    assert not deferred.must_yield(POOL, 1, 1001)
+    assert not deferred.must_yield(POOL, 0, 1001)
+    assert not deferred.must_yield('plain', 2, 1001)
     # By then the deferred call was retried or is not retried any more.
-    assert not deferred.gives_way(POOL, 2, 3000)
+    assert not deferred.must_yield(POOL, 2, 3000)
--- a/wingfall/gateway/rules/admission/held_calls.py
+++ b/wingfall/gateway/rules/admission/held_calls.py
@@ -50,7 +50,7 @@
         # End of the reservation of free capacity, by pool and tier.
         self._reserved_until_ms: dict[str, dict[int, float]] = {}
 
-    def gives_way(self, pool: str, tier: int, now_ms: int) -> bool:
+    def must_yield(self, pool: str, tier: int, now_ms: int) -> bool:
         """Check if a call must leave free capacity to a more urgent tier.
 
         :param pool: name of its pool.
