--- a/wingfall/gateway/calls/held_pool.py
+++ b/wingfall/gateway/calls/held_pool.py
@@ -37,7 +37,7 @@
     slots = _describe_slots(state, withheld)
     reasons = {name: state.gate.why_held(name) for name in withheld}
     now_ms = state.clock.now_ms()
-    retry_ms = state.held_calls.hold(pool, call.priority, slots, now_ms)
+    retry_ms = state.held_calls.defer(pool, call.priority, slots, now_ms)
     log_event(
         'held',
         'No endpoint of the pool takes a call now.',
--- a/wingfall/gateway/rules/admission/held_calls.py
+++ b/wingfall/gateway/rules/admission/held_calls.py
@@ -67,7 +67,7 @@
             if reserved_tier < tier
         )
 
-    def hold(self, pool: str, tier: int, slots: Opening, now_ms: int) -> int:
+    def defer(self, pool: str, tier: int, slots: Opening, now_ms: int) -> int:
         """Defer a call and assign its retry time.
 
         :param pool: name of its pool.
