--- a/wingfall/gateway/calls/dispatcher.py
+++ b/wingfall/gateway/calls/dispatcher.py
@@ -221,7 +221,7 @@
             left_ms=call.deadline_ms - now_ms,
             target_ms=call.route.target_ms,
             start_ms=destination.start_ms,
-            last=not call.idempotent or number >= call.route.max_attempts,
+            is_last=not call.idempotent or number >= call.route.max_attempts,
         )
         return AttemptLimits(
             deadline_ms=call.deadline_ms,
--- a/wingfall/gateway/rules/retries/attempt_time.py
+++ b/wingfall/gateway/rules/retries/attempt_time.py
@@ -26,7 +26,7 @@
 class AttemptOutlook:
     """Properties of an attempt that are known before it begins."""
 
-    __slots__ = ('last', 'left_ms', 'start_ms', 'target_ms')
+    __slots__ = ('is_last', 'left_ms', 'start_ms', 'target_ms')
 
     def __init__(
         self,
@@ -34,19 +34,19 @@
         left_ms: int,
         target_ms: int,
         start_ms: float,
-        last: bool,
+        is_last: bool,
     ) -> None:
         """Initialize the properties.
 
         :param left_ms: milliseconds that the caller still waits.
         :param target_ms: milliseconds in which its route should answer.
         :param start_ms: estimated milliseconds until the answer begins.
-        :param last: whether no attempt may follow.
+        :param is_last: whether no attempt may follow.
         """
         self.left_ms = left_ms
         self.target_ms = target_ms
         self.start_ms = start_ms
-        self.last = last
+        self.is_last = is_last
 
 
 def is_time_over(left_ms: int) -> bool:
@@ -64,7 +64,7 @@
     :param attempt: the attempt.
     :returns: milliseconds; all the remaining time for a last attempt.
     """
-    if attempt.last:
+    if attempt.is_last:
         return attempt.left_ms
     timeout_ms = max(
         attempt.left_ms * _REMAINING_TIME_FRACTION,
