--- a/tests/load_replay.py
+++ b/tests/load_replay.py
@@ -458,7 +458,7 @@
     def _fail_send(self, call: ReplayedCall, name: str) -> None:
         call.progress.note(name, AttemptEnd.not_sent)
         call.gateway.knowledge.health.note_unreachable(name)
-        terms = RetryTerms(idempotent=True, max_attempts=2, resumes=True)
+        terms = RetryTerms(idempotent=True, max_attempts=2, is_resumable=True)
         verdict = judge_retry(AttemptEnd.not_sent, call.progress, terms)
         if verdict is RetryVerdict.free:
             self._place(call)
--- a/tests/test_call_rules.py
+++ b/tests/test_call_rules.py
@@ -319,7 +319,7 @@
     assert not progress.sent
     assert not progress.unreached
     assert not progress.may_have_run
-    terms = RetryTerms(idempotent=False, max_attempts=1, resumes=True)
+    terms = RetryTerms(idempotent=False, max_attempts=1, is_resumable=True)
     verdict = judge_retry(AttemptEnd.held, progress, terms)
     assert verdict is RetryVerdict.free
     # No retry once another endpoint may have run the call.
--- a/wingfall/gateway/calls/dispatcher.py
+++ b/wingfall/gateway/calls/dispatcher.py
@@ -260,7 +260,7 @@
         terms = RetryTerms(
             idempotent=self._call.idempotent,
             max_attempts=self._call.route.max_attempts,
-            resumes=not reply.started or reply.last_event_id is not None,
+            is_resumable=not reply.started or reply.last_event_id is not None,
         )
         verdict = judge_retry(end, self._progress, terms)
         if verdict is RetryVerdict.from_budget:
--- a/wingfall/gateway/rules/retries/retry.py
+++ b/wingfall/gateway/rules/retries/retry.py
@@ -66,25 +66,25 @@
 class RetryTerms:
     """Conditions of a call that restrict its retries."""
 
-    __slots__ = ('idempotent', 'max_attempts', 'resumes')
+    __slots__ = ('idempotent', 'max_attempts', 'is_resumable')
 
     def __init__(
         self,
         *,
         idempotent: bool,
         max_attempts: int,
-        resumes: bool,
+        is_resumable: bool,
     ) -> None:
         """Initialize the conditions.
 
         :param idempotent: whether a second run does no harm.
         :param max_attempts: maximum number of endpoints to send the call to.
-        :param resumes: whether its answer has not begun, or can continue
+        :param is_resumable: whether its answer has not begun, or can continue
             after its last event.
         """
         self.idempotent = idempotent
         self.max_attempts = max_attempts
-        self.resumes = resumes
+        self.is_resumable = is_resumable
 
 
 def judge_retry(
@@ -109,6 +109,6 @@
     if end is AttemptEnd.not_sent:
         may_try_others = len(progress.unreached) < _MAX_UNREACHED_ENDPOINTS
         return RetryVerdict.free if may_try_others else RetryVerdict.never
-    if len(progress.sent) >= terms.max_attempts or not terms.resumes:
+    if len(progress.sent) >= terms.max_attempts or not terms.is_resumable:
         return RetryVerdict.never
     return RetryVerdict.from_budget
