--- a/wingfall/gateway/knowledge/crash_ledger.py
+++ b/wingfall/gateway/knowledge/crash_ledger.py
@@ -60,7 +60,7 @@
         '_digests',
         '_unreported_crashes',
         '_unreported_served',
-        'news',
+        'updates_available',
         'revision',
     )
 
@@ -83,7 +83,7 @@
         self._unreported_crashes: dict[str, EndpointCrash] = {}
         self._unreported_served: set[Fingerprint] = set()
         # Set while there are unreported changes.
-        self.news = Event()
+        self.updates_available = Event()
         # Number of changes so far.
         self.revision = 0
 
@@ -125,7 +125,7 @@
             report = self._unreported_crashes.setdefault(crash.endpoint, added)
             report.silent |= added.silent
             report.streaming |= added.streaming
-            self.news.set()
+            self.updates_available.set()
 
     def take_crash(self, crash: EndpointCrash) -> EndpointCrash | None:
         """Merge a crash and its suspects into the stored crashes.
@@ -281,7 +281,7 @@
 
     def _report_served(self, fingerprint: Fingerprint) -> None:
         self._unreported_served.add(fingerprint)
-        self.news.set()
+        self.updates_available.set()
 
     def _remove(self, endpoints: Iterable[str]) -> None:
         for name in endpoints:
--- a/wingfall/gateway/peers/crash_exchange.py
+++ b/wingfall/gateway/peers/crash_exchange.py
@@ -75,14 +75,14 @@
 
     def wait(self) -> None:
         """Wait for entries that this gateway has not sent."""
-        self._ledger.news.wait()
+        self._ledger.updates_available.wait()
 
     def take_untold(self) -> CrashUpdates:
         """Return and clear the entries that were not sent yet.
 
         :returns: the updates.
         """
-        self._ledger.news.clear()
+        self._ledger.updates_available.clear()
         return self._encode(
             self._ledger.take_untold_crashes(),
             self._ledger.take_untold_served(),
