--- a/wingfall/gateway/rules/crashes/crash_blame.py
+++ b/wingfall/gateway/rules/crashes/crash_blame.py
@@ -50,15 +50,15 @@
         'crashes',
         'enough_ms',
         'last_complete_ms',
-        'needed',
+        'min_weight',
     )
 
-    def __init__(self, *, needed: int) -> None:
+    def __init__(self, *, min_weight: int) -> None:
         """Create empty evidence.
 
-        :param needed: weight from which the request is the cause.
+        :param min_weight: weight from which the request is the cause.
         """
-        self.needed = needed
+        self.min_weight = min_weight
         self._weight = 0
         # Total weight of the crashes at which all requests are known.
         self._complete_weight = 0
@@ -74,17 +74,17 @@
     @property
     def is_enough(self) -> bool:
         """Whether the request is the cause."""
-        return self._weight >= self.needed
+        return self._weight >= self.min_weight
 
     @property
     def certain(self) -> bool:
         """Whether the complete crashes alone show the cause."""
-        return self._complete_weight >= self.needed
+        return self._complete_weight >= self.min_weight
 
     @property
     def excess(self) -> int:
         """Number of crashes beyond the required weight."""
-        return (self._weight - self.needed) // _SILENT_WEIGHT
+        return (self._weight - self.min_weight) // _SILENT_WEIGHT
 
     @property
     def last_ms(self) -> int:
@@ -99,7 +99,7 @@
         other crashes and most of those of the cause, must not hide the cause.
         Incomplete crashes don't count: the cause may also have been there.
         """
-        return self._complete_weight / self.needed
+        return self._complete_weight / self.min_weight
 
     def has_one_with(self, crash: EndpointCrash) -> bool:
         """Check if a crash is concurrent with the last counted crash.
@@ -196,7 +196,7 @@
         for suspect in _filter_suspects(suspects, crash, crashes, served_ms):
             served = suspect in served_ms
             needed = _MIN_SERVED_WEIGHT if served else _MIN_WEIGHT
-            evidence = by_suspect.setdefault(suspect, Blame(needed=needed))
+            evidence = by_suspect.setdefault(suspect, Blame(min_weight=needed))
             if not (served and evidence.has_one_with(crash)):
                 evidence.add(crash, _crash_weight(suspect, crash))
     return by_suspect
