--- a/wingfall/gateway/rules/crashes/crash_blame.py
+++ b/wingfall/gateway/rules/crashes/crash_blame.py
@@ -72,7 +72,7 @@
         self.last_complete_ms = 0
 
     @property
-    def is_enough(self) -> bool:
+    def is_cause(self) -> bool:
         """Whether the request is the cause."""
         return self._weight >= self.min_weight
 
@@ -121,13 +121,13 @@
         :param crash: the crash.
         :param weight: its evidence weight.
         """
-        was_enough = self.is_enough
+        was_enough = self.is_cause
         self.crashes.append(crash)
         self._weight += weight
         if not crash.incomplete:
             self._complete_weight += weight
             self.last_complete_ms = crash.crashed_ms
-        if self.is_enough and not was_enough:
+        if self.is_cause and not was_enough:
             self.enough_ms = crash.crashed_ms
 
 
@@ -166,7 +166,7 @@
     by_suspect = {
         suspect: evidence
         for suspect, evidence in _collect_evidence(crashes, served_ms).items()
-        if evidence.is_enough
+        if evidence.is_cause
     }
     max_ratio = max(
         (evidence.strength for evidence in by_suspect.values()), default=0
