--- a/wingfall/gateway/rules/crashes/crash_blame.py
+++ b/wingfall/gateway/rules/crashes/crash_blame.py
@@ -77,7 +77,7 @@
         return self._weight >= self.min_weight
 
     @property
-    def certain(self) -> bool:
+    def is_certain(self) -> bool:
         """Whether the complete crashes alone show the cause."""
         return self._complete_weight >= self.min_weight
 
--- a/wingfall/gateway/rules/crashes/request_blocks.py
+++ b/wingfall/gateway/rules/crashes/request_blocks.py
@@ -156,7 +156,7 @@
 
     def _is_conclusive(self, evidence: Blame) -> bool:
         # Gateways lost before this one started are not known here.
-        return evidence.certain and evidence.enough_ms >= self._started_ms
+        return evidence.is_certain and evidence.enough_ms >= self._started_ms
 
     def _trial_wait_ms(
         self, fingerprint: Fingerprint, evidence: Blame
@@ -190,7 +190,7 @@
                 'A request is blocked: it ends the endpoints that run it.',
                 request=fingerprint.hex(),
                 alone=self._causes[fingerprint].alone,
-                certain=self._causes[fingerprint].certain,
+                certain=self._causes[fingerprint].is_certain,
                 crashes=len(crashes),
                 endpoints=[crash.endpoint for crash in crashes],
                 ages_ms=[now_ms - crash.crashed_ms for crash in crashes],
