--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -54,10 +54,10 @@
 
 def test_cause_is_alone_unless_another_was_at_its_crashes():
     tied = [crash(number, CAUSE, OTHER) for number in range(3)]
-    assert not any(each.alone for each in find_causes(tied, {}).values())
+    assert not any(each.is_only_suspect for each in find_causes(tied, {}).values())
     apart = [crash(number, CAUSE) for number in range(3)]
     apart += [crash(3 + number, OTHER) for number in range(3)]
-    assert all(each.alone for each in find_causes(apart, {}).values())
+    assert all(each.is_only_suspect for each in find_causes(apart, {}).values())
 
 
 def test_two_causes_at_a_time_are_both_found():
--- a/wingfall/gateway/rules/crashes/crash_blame.py
+++ b/wingfall/gateway/rules/crashes/crash_blame.py
@@ -46,7 +46,7 @@
     __slots__ = (
         '_complete_weight',
         '_weight',
-        'alone',
+        'is_only_suspect',
         'crashes',
         'enough_ms',
         'last_complete_ms',
@@ -63,7 +63,7 @@
         # Total weight of the crashes at which all requests are known.
         self._complete_weight = 0
         # Whether no request with equal evidence was at these crashes.
-        self.alone = True
+        self.is_only_suspect = True
         # Crashes that count against the request.
         self.crashes: list[EndpointCrash] = []
         # Time of the crash that reached the required weight, 0 if none did.
@@ -177,7 +177,7 @@
         if evidence.strength == max_ratio
     }
     for suspect, evidence in strongest.items():
-        evidence.alone = not any(
+        evidence.is_only_suspect = not any(
             crash.has(other)
             for crash in evidence.crashes
             for other in strongest.keys() - {suspect}
--- a/wingfall/gateway/rules/crashes/request_blocks.py
+++ b/wingfall/gateway/rules/crashes/request_blocks.py
@@ -145,12 +145,12 @@
         return self._causes
 
     def _is_undecided(self, evidence: Blame) -> bool:
-        if evidence.alone and self._is_conclusive(evidence):
+        if evidence.is_only_suspect and self._is_conclusive(evidence):
             return False
         # Later incomplete crashes don't count, so that repeated gateway losses
         # can't postpone the block.
         since_ms = evidence.enough_ms
-        if not evidence.alone:
+        if not evidence.is_only_suspect:
             since_ms = max(since_ms, evidence.last_complete_ms)
         return self._clock.now_ms() - since_ms < _DECISION_DELAY_MS
 
@@ -189,7 +189,7 @@
                 'blocks',
                 'A request is blocked: it ends the endpoints that run it.',
                 request=fingerprint.hex(),
-                alone=self._causes[fingerprint].alone,
+                alone=self._causes[fingerprint].is_only_suspect,
                 certain=self._causes[fingerprint].is_certain,
                 crashes=len(crashes),
                 endpoints=[crash.endpoint for crash in crashes],
