--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -36,7 +36,7 @@
     crashes.append(crash(2, CAUSE))
     (blame,) = find_causes(crashes, {}).values()
     assert len(blame.crashes) == 3
-    assert blame.excess == 0
+    assert blame.excess_crashes == 0
     assert blame.last_ms == 2000
 
 
@@ -94,7 +94,7 @@
     assert not find_causes(crashes, served_ms)
     crashes.append(crash(4, OTHER))
     (blame,) = find_causes(crashes, served_ms).values()
-    assert blame.excess == 0
+    assert blame.excess_crashes == 0
 
 
 def test_request_that_was_answered_well_does_not_hide_the_cause():
--- a/wingfall/gateway/rules/crashes/crash_blame.py
+++ b/wingfall/gateway/rules/crashes/crash_blame.py
@@ -82,7 +82,7 @@
         return self._complete_weight >= self.min_weight
 
     @property
-    def excess(self) -> int:
+    def excess_crashes(self) -> int:
         """Number of crashes beyond the required weight."""
         return (self._weight - self.min_weight) // _SILENT_WEIGHT
 
--- a/wingfall/gateway/rules/crashes/request_blocks.py
+++ b/wingfall/gateway/rules/crashes/request_blocks.py
@@ -161,9 +161,9 @@
     def _trial_wait_ms(
         self, fingerprint: Fingerprint, evidence: Blame
     ) -> int | None:
-        if evidence.excess >= len(_TRIAL_DELAYS_MS):
+        if evidence.excess_crashes >= len(_TRIAL_DELAYS_MS):
             return None
-        wait_ms = _TRIAL_DELAYS_MS[evidence.excess]
+        wait_ms = _TRIAL_DELAYS_MS[evidence.excess_crashes]
         last_trial_ms = self._last_trial_ms.get(fingerprint, evidence.last_ms)
         since_ms = max(last_trial_ms, evidence.last_ms)
         remaining_ms = since_ms + wait_ms - self._clock.now_ms()
