--- a/wingfall/gateway/rules/crashes/crash_blame.py
+++ b/wingfall/gateway/rules/crashes/crash_blame.py
@@ -48,7 +48,7 @@
         '_weight',
         'is_only_suspect',
         'crashes',
-        'enough_ms',
+        'identified_ms',
         'last_complete_ms',
         'min_weight',
     )
@@ -67,7 +67,7 @@
         # Crashes that count against the request.
         self.crashes: list[EndpointCrash] = []
         # Time of the crash that reached the required weight, 0 if none did.
-        self.enough_ms = 0
+        self.identified_ms = 0
         # Time of the last complete crash, 0 if there was none.
         self.last_complete_ms = 0
 
@@ -128,7 +128,7 @@
             self._complete_weight += weight
             self.last_complete_ms = crash.crashed_ms
         if self.is_cause and not was_enough:
-            self.enough_ms = crash.crashed_ms
+            self.identified_ms = crash.crashed_ms
 
 
 def find_causes(
--- a/wingfall/gateway/rules/crashes/request_blocks.py
+++ b/wingfall/gateway/rules/crashes/request_blocks.py
@@ -149,14 +149,14 @@
             return False
         # Later incomplete crashes don't count, so that repeated gateway losses
         # can't postpone the block.
-        since_ms = evidence.enough_ms
+        since_ms = evidence.identified_ms
         if not evidence.is_only_suspect:
             since_ms = max(since_ms, evidence.last_complete_ms)
         return self._clock.now_ms() - since_ms < _DECISION_DELAY_MS
 
     def _is_conclusive(self, evidence: Blame) -> bool:
         # Gateways lost before this one started are not known here.
-        return evidence.is_certain and evidence.enough_ms >= self._started_ms
+        return evidence.is_certain and evidence.identified_ms >= self._started_ms
 
     def _trial_wait_ms(
         self, fingerprint: Fingerprint, evidence: Blame
