--- a/wingfall/gateway/rules/crashes/crash_blame.py
+++ b/wingfall/gateway/rules/crashes/crash_blame.py
@@ -49,7 +49,7 @@
         'is_only_suspect',
         'crashes',
         'identified_ms',
-        'last_complete_ms',
+        'last_complete_crash_ms',
         'min_weight',
     )
 
@@ -69,7 +69,7 @@
         # Time of the crash that reached the required weight, 0 if none did.
         self.identified_ms = 0
         # Time of the last complete crash, 0 if there was none.
-        self.last_complete_ms = 0
+        self.last_complete_crash_ms = 0
 
     @property
     def is_cause(self) -> bool:
@@ -126,7 +126,7 @@
         self._weight += weight
         if not crash.incomplete:
             self._complete_weight += weight
-            self.last_complete_ms = crash.crashed_ms
+            self.last_complete_crash_ms = crash.crashed_ms
         if self.is_cause and not was_enough:
             self.identified_ms = crash.crashed_ms
 
--- a/wingfall/gateway/rules/crashes/request_blocks.py
+++ b/wingfall/gateway/rules/crashes/request_blocks.py
@@ -151,7 +151,7 @@
         # can't postpone the block.
         since_ms = evidence.identified_ms
         if not evidence.is_only_suspect:
-            since_ms = max(since_ms, evidence.last_complete_ms)
+            since_ms = max(since_ms, evidence.last_complete_crash_ms)
         return self._clock.now_ms() - since_ms < _DECISION_DELAY_MS
 
     def _is_conclusive(self, evidence: Blame) -> bool:
