--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -37,7 +37,7 @@
     (blame,) = find_causes(crashes, {}).values()
     assert len(blame.crashes) == 3
     assert blame.excess_crashes == 0
-    assert blame.last_ms == 2000
+    assert blame.last_crash_ms == 2000
 
 
 def test_neighbour_at_some_of_the_crashes_is_not_blamed():
--- a/wingfall/gateway/rules/crashes/crash_blame.py
+++ b/wingfall/gateway/rules/crashes/crash_blame.py
@@ -87,7 +87,7 @@
         return (self._weight - self.min_weight) // _SILENT_WEIGHT
 
     @property
-    def last_ms(self) -> int:
+    def last_crash_ms(self) -> int:
         """Time of the last crash, in clock milliseconds."""
         return max(crash.crashed_ms for crash in self.crashes)
 
--- a/wingfall/gateway/rules/crashes/request_blocks.py
+++ b/wingfall/gateway/rules/crashes/request_blocks.py
@@ -164,8 +164,8 @@
         if evidence.excess_crashes >= len(_TRIAL_DELAYS_MS):
             return None
         wait_ms = _TRIAL_DELAYS_MS[evidence.excess_crashes]
-        last_trial_ms = self._last_trial_ms.get(fingerprint, evidence.last_ms)
-        since_ms = max(last_trial_ms, evidence.last_ms)
+        last_trial_ms = self._last_trial_ms.get(fingerprint, evidence.last_crash_ms)
+        since_ms = max(last_trial_ms, evidence.last_crash_ms)
         remaining_ms = since_ms + wait_ms - self._clock.now_ms()
         if remaining_ms > 0:
             return remaining_ms
