--- a/wingfall/gateway/rules/crashes/crash_blame.py
+++ b/wingfall/gateway/rules/crashes/crash_blame.py
@@ -92,7 +92,7 @@
         return max(crash.crashed_ms for crash in self.crashes)
 
     @property
-    def strength(self) -> float:
+    def evidence_ratio(self) -> float:
         """Weight of the complete crashes as a multiple of the required weight.
 
         A served request requires more weight: a popular request, present at
@@ -169,12 +169,12 @@
         if evidence.is_cause
     }
     max_ratio = max(
-        (evidence.strength for evidence in by_suspect.values()), default=0
+        (evidence.evidence_ratio for evidence in by_suspect.values()), default=0
     )
     strongest = {
         suspect: evidence
         for suspect, evidence in by_suspect.items()
-        if evidence.strength == max_ratio
+        if evidence.evidence_ratio == max_ratio
     }
     for suspect, evidence in strongest.items():
         evidence.is_only_suspect = not any(
