--- a/wingfall/gateway/rules/crashes/crash_blame.py
+++ b/wingfall/gateway/rules/crashes/crash_blame.py
@@ -101,7 +101,7 @@
         """
         return self._complete_weight / self.min_weight
 
-    def has_one_with(self, crash: EndpointCrash) -> bool:
+    def is_concurrent_with(self, crash: EndpointCrash) -> bool:
         """Check if a crash is concurrent with the last counted crash.
 
         Copies of a request begin to run at different times, so it did not
@@ -197,7 +197,7 @@
             served = suspect in served_ms
             needed = _MIN_SERVED_WEIGHT if served else _MIN_WEIGHT
             evidence = by_suspect.setdefault(suspect, Blame(min_weight=needed))
-            if not (served and evidence.has_one_with(crash)):
+            if not (served and evidence.is_concurrent_with(crash)):
                 evidence.add(crash, _crash_weight(suspect, crash))
     return by_suspect
 
