--- a/wingfall/gateway/rules/crashes/request_blocks.py
+++ b/wingfall/gateway/rules/crashes/request_blocks.py
@@ -41,15 +41,15 @@
 class Block:
     """The reason why a request is not sent to an endpoint."""
 
-    __slots__ = ('blame', 'retry_after_ms')
+    __slots__ = ('evidence', 'retry_after_ms')
 
-    def __init__(self, *, blame: Blame, retry_after_ms: int) -> None:
+    def __init__(self, *, evidence: Blame, retry_after_ms: int) -> None:
         """Initialize a block.
 
-        :param blame: evidence that the request crashes endpoints.
+        :param evidence: evidence that the request crashes endpoints.
         :param retry_after_ms: milliseconds until the next trial.
         """
-        self.blame = blame
+        self.evidence = evidence
         self.retry_after_ms = retry_after_ms
 
 
@@ -110,7 +110,7 @@
         if wait_ms == 0:
             return None
         return Block(
-            blame=evidence, retry_after_ms=wait_ms or _NO_TRIAL_RETRY_MS
+            evidence=evidence, retry_after_ms=wait_ms or _NO_TRIAL_RETRY_MS
         )
 
     def note_sent(self, fingerprint: Fingerprint) -> None:
