--- a/tests/test_request_blocks.py
+++ b/tests/test_request_blocks.py
@@ -46,12 +46,12 @@
     blocks: RequestBlocks, ledger: CrashLedger, clock: ManualClock
 ):
     record_crashes(ledger, clock, 'e1', 'e2')
-    assert blocks.find(REQUEST) is None
+    assert blocks.find_block(REQUEST) is None
     record_crashes(ledger, clock, 'e3')
-    block = blocks.find(REQUEST)
+    block = blocks.find_block(REQUEST)
     assert block is not None
     assert block.retry_after_ms == FIRST_TRIAL_MS
-    assert blocks.find(b'other') is None
+    assert blocks.find_block(b'other') is None
     assert blocks.count == 1
 
 
@@ -68,12 +68,12 @@
                 silent=[REQUEST, other],
             )
         )
-    assert blocks.find(REQUEST) is None
-    assert blocks.find(other) is None
+    assert blocks.find_block(REQUEST) is None
+    assert blocks.find_block(other) is None
     # A successful answer clears one of the two.
     ledger.note_served(other)
-    assert blocks.find(REQUEST)
-    assert blocks.find(other) is None
+    assert blocks.find_block(REQUEST)
+    assert blocks.find_block(other) is None
 
 
 def test_requests_that_nothing_tells_apart_are_refused_after_a_second(
@@ -89,10 +89,10 @@
             )
         )
     clock.advance(999)
-    assert blocks.find(REQUEST) is None
+    assert blocks.find_block(REQUEST) is None
     clock.advance(1)
-    assert blocks.find(REQUEST)
-    assert blocks.find(b'was there too')
+    assert blocks.find_block(REQUEST)
+    assert blocks.find_block(b'was there too')
 
 
 def record_crash(
@@ -127,12 +127,12 @@
     blocks: RequestBlocks, ledger: CrashLedger, clock: ManualClock
 ):
     record_incomplete_crash(ledger, clock)
-    assert blocks.find(POPULAR) is None
+    assert blocks.find_block(POPULAR) is None
     clock.advance(370)
-    assert blocks.find(POPULAR) is None
+    assert blocks.find_block(POPULAR) is None
     ledger.note_served(POPULAR)
     clock.advance(1000)
-    assert blocks.find(POPULAR) is None
+    assert blocks.find_block(POPULAR) is None
 
 
 def test_cause_is_found_at_the_next_crash_after_one_beside_a_lost_gateway(
@@ -142,10 +142,10 @@
     clock.advance(500)
     record_crash(ledger, clock, 'e4', REQUEST, POPULAR)
     clock.advance(150)
-    assert blocks.find(REQUEST) is None
+    assert blocks.find_block(REQUEST) is None
     record_crash(ledger, clock, 'e5', REQUEST)
-    assert blocks.find(REQUEST)
-    assert blocks.find(POPULAR) is None
+    assert blocks.find_block(REQUEST)
+    assert blocks.find_block(POPULAR) is None
 
 
 def test_cause_is_refused_though_its_gateways_are_lost_again_and_again(
@@ -155,12 +155,12 @@
         record_crash(ledger, clock, name, REQUEST)
         ledger.note_gateway_lost('g2')
         clock.advance(250)
-    assert blocks.find(REQUEST) is None
+    assert blocks.find_block(REQUEST) is None
     # Further incomplete crashes do not postpone the refusal.
     record_crash(ledger, clock, 'e4', REQUEST)
     ledger.note_gateway_lost('g2')
     clock.advance(750)
-    assert blocks.find(REQUEST)
+    assert blocks.find_block(REQUEST)
 
 
 def test_requests_at_the_same_crashes_are_refused_though_gateways_are_lost(
@@ -169,11 +169,11 @@
     for name in ('e1', 'e2', 'e3'):
         record_crash(ledger, clock, name, REQUEST, POPULAR)
     for number in range(4):
-        assert blocks.find(REQUEST) is None
+        assert blocks.find_block(REQUEST) is None
         record_crash(ledger, clock, f'l{number}', REQUEST)
         ledger.note_gateway_lost('g2')
         clock.advance(250)
-    assert blocks.find(REQUEST)
+    assert blocks.find_block(REQUEST)
 
 
 def test_gateway_that_started_after_the_crashes_waits_for_a_good_answer(
@@ -192,20 +192,20 @@
                 silent=[REQUEST],
             )
         )
-    assert started.find(REQUEST) is None
+    assert started.find_block(REQUEST) is None
     clock.advance(600)
-    assert started.find(REQUEST)
+    assert started.find_block(REQUEST)
 
 
 def test_request_is_tried_once_after_a_minute(
     blocks: RequestBlocks, ledger: CrashLedger, clock: ManualClock
 ):
     record_crashes(ledger, clock, 'e1', 'e2', 'e3')
-    assert blocks.find(REQUEST)
+    assert blocks.find_block(REQUEST)
     clock.advance(FIRST_TRIAL_MS)
-    assert blocks.find(REQUEST) is None
+    assert blocks.find_block(REQUEST) is None
     blocks.note_sent(REQUEST)
-    assert blocks.find(REQUEST)
+    assert blocks.find_block(REQUEST)
 
 
 def test_requests_beyond_the_bound_are_two_in_all(
@@ -215,7 +215,7 @@
     trials = 0
     for _second in range(3600):
         clock.advance(1000)
-        if blocks.find(REQUEST) is None:
+        if blocks.find_block(REQUEST) is None:
             blocks.note_sent(REQUEST)
             trials += 1
             record_crashes(ledger, clock, f'tried-{trials}')
@@ -229,7 +229,7 @@
     clock.advance(FIRST_TRIAL_MS)
     blocks.note_sent(REQUEST)
     ledger.note_served(REQUEST)
-    assert blocks.find(REQUEST) is None
+    assert blocks.find_block(REQUEST) is None
     assert blocks.count == 0
 
 
@@ -244,7 +244,7 @@
         gateway.set_peers(names)
     record_crashes(ledger, clock, 'e1', 'e2', 'e3')
     clock.advance(FIRST_TRIAL_MS)
-    allowing = [each for each in gateways if each.find(REQUEST) is None]
+    allowing = [each for each in gateways if each.find_block(REQUEST) is None]
     assert len(allowing) == 1
 
 
@@ -257,4 +257,4 @@
                 endpoint=name, crashed_ms=0, told_by='g1', silent=[b'']
             )
         )
-    assert blocks.find(b'') is None
+    assert blocks.find_block(b'') is None
--- a/wingfall/gateway/calls/dispatcher.py
+++ b/wingfall/gateway/calls/dispatcher.py
@@ -160,7 +160,7 @@
         return hold_off(self._state, self._call, self._pool)
 
     def _refuse_blocked(self) -> Refusal | None:
-        block = self._state.blocks.find(self._call.fingerprint)
+        block = self._state.blocks.find_block(self._call.fingerprint)
         if block is None:
             return None
         if self._reply.started:
--- a/wingfall/gateway/rules/crashes/request_blocks.py
+++ b/wingfall/gateway/rules/crashes/request_blocks.py
@@ -97,7 +97,7 @@
         """
         self._gateways = {self._name, *names}
 
-    def find(self, fingerprint: Fingerprint) -> Block | None:
+    def find_block(self, fingerprint: Fingerprint) -> Block | None:
         """Return the block of a request.
 
         :param fingerprint: the request.
