--- a/tests/test_engine_speeds.py
+++ b/tests/test_engine_speeds.py
@@ -28,7 +28,7 @@
     speeds = EngineSpeeds()
     record_prefills(speeds, 'known', 230)
     new = speeds.find('new', 'pool').rate.tokens_per_ms
-    assert new == pytest.approx(speeds.average('pool').tokens_per_ms)
+    assert new == pytest.approx(speeds.pool_rate('pool').tokens_per_ms)
     assert speeds.find('other', 'other pool').rate.tokens_per_ms < new
 
 
--- a/tests/test_shared_rates.py
+++ b/tests/test_shared_rates.py
@@ -161,7 +161,7 @@
     speeds.keep_only(set())
     assert rate_before_listing.tokens_per_ms == 60
     assert speeds.find('e', POOL).rate.tokens_per_ms == 60
-    assert speeds.average(POOL).tokens_per_ms == 60
+    assert speeds.pool_rate(POOL).tokens_per_ms == 60
 
 
 def test_what_peers_tell_of_an_engine_is_kept_until_it_is_listed(
--- a/wingfall/gateway/calls/destination.py
+++ b/wingfall/gateway/calls/destination.py
@@ -211,7 +211,7 @@
     known_pool = _find_pool(state, pool)
     if known_pool is None or call.head.prompt is None:
         return None
-    rate = state.knowledge.speeds.average(pool).tokens_per_ms
+    rate = state.knowledge.speeds.pool_rate(pool).tokens_per_ms
     source = state.policies.cache_transfer(
         candidates,
         known_pool.copy_tokens_per_ms / rate,
--- a/wingfall/gateway/knowledge/engine_speeds.py
+++ b/wingfall/gateway/knowledge/engine_speeds.py
@@ -118,7 +118,7 @@
             self._by_engine[engine] = speed
         return speed
 
-    def average(self, pool: str) -> Rate:
+    def pool_rate(self, pool: str) -> Rate:
         """Return the overall prefill rate of a pool's engines.
 
         :param pool: name of the pool.
