--- a/tests/test_rate_share.py
+++ b/tests/test_rate_share.py
@@ -108,7 +108,7 @@
     assert not bucket.take(0)
     assert bucket.ready_in_ms(0) == 500
     assert bucket.take(500)
-    bucket.change(0, 1000)
+    bucket.update_rate(0, 1000)
     assert not bucket.take(100_000)
 
 
--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -253,7 +253,7 @@
         if bucket is None:
             bucket = Pace(rate=share, now_ms=now_ms)
             self._token_buckets[endpoint] = bucket
-        bucket.change(share, now_ms)
+        bucket.update_rate(share, now_ms)
         return bucket
 
     def _ramp_up(self, endpoint: str, now_ms: int) -> RestReturn | None:
--- a/wingfall/gateway/rules/pacing/pace.py
+++ b/wingfall/gateway/rules/pacing/pace.py
@@ -37,7 +37,7 @@
         """Refill rate in requests per second."""
         return self._rate
 
-    def change(self, rate: float, now_ms: int) -> None:
+    def update_rate(self, rate: float, now_ms: int) -> None:
         """Set another rate.
 
         :param rate: requests per second, not negative.
