--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -289,7 +289,7 @@
                 rate=max(_MIN_REQUESTS_PER_S, rate),
                 name=self._name,
                 gateways=self._gateways,
-                known=self._gateway_count,
+                gateway_count=self._gateway_count,
             ),
         )
         self._shares[endpoint] = (rate, share)
--- a/wingfall/gateway/rules/pacing/rate_share.py
+++ b/wingfall/gateway/rules/pacing/rate_share.py
@@ -33,7 +33,7 @@
 class ShareTerms:
     """An endpoint's rate limit and the gateways that share it."""
 
-    __slots__ = ('endpoint', 'gateways', 'known', 'name', 'rate')
+    __slots__ = ('endpoint', 'gateways', 'gateway_count', 'name', 'rate')
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         rate: float,
         name: str,
         gateways: Collection[str],
-        known: int = 0,
+        gateway_count: int = 0,
     ) -> None:
         """Create the terms for one endpoint.
 
@@ -50,14 +50,14 @@
         :param rate: limit in requests per second for all gateways together.
         :param name: name of this gateway.
         :param gateways: names of the connected gateways and of this one.
-        :param known: highest possible number of gateways, including the
+        :param gateway_count: highest possible number of gateways, including the
             unreachable ones.
         """
         self.endpoint = endpoint
         self.rate = rate
         self.name = name
         self.gateways = gateways
-        self.known = max(known, len(gateways))
+        self.gateway_count = max(gateway_count, len(gateways))
 
 
 @rate_shares.register('few_gateways')
@@ -68,7 +68,7 @@
     :returns: this gateway's share in requests per second.
     """
     max_users = int(terms.rate / _MIN_SHARE)
-    users = max(1, min(terms.known, max_users))
+    users = max(1, min(terms.gateway_count, max_users))
     if users < len(terms.gateways):
         selected = heapq.nsmallest(
             users,
@@ -87,7 +87,7 @@
     :param terms: the endpoint's limit and the gateways.
     :returns: this gateway's share in requests per second.
     """
-    return terms.rate / terms.known
+    return terms.rate / terms.gateway_count
 
 
 def _rank(endpoint: str, gateway: str) -> bytes:
