--- a/wingfall/gateway/knowledge/endpoint_signals.py
+++ b/wingfall/gateway/knowledge/endpoint_signals.py
@@ -52,7 +52,7 @@
         '_digest',
         '_digest_ms',
         '_unreported',
-        'news',
+        'updates_available',
         'rests',
     )
 
@@ -74,7 +74,7 @@
         self._digest: int | None = None
         self._digest_ms = 0
         # Set while there are signals that have not been reported to peers.
-        self.news = Event()
+        self.updates_available = Event()
         self.rests = EndpointRests(clock=clock)
 
     @property
@@ -172,7 +172,7 @@
         """
         unreported = self._unreported
         self._unreported = set()
-        self.news.clear()
+        self.updates_available.clear()
         return unreported
 
     def forget(self, listed: Collection[str]) -> None:
@@ -261,7 +261,7 @@
 
     def _mark_unreported(self, endpoint: str) -> None:
         self._unreported.add(endpoint)
-        self.news.set()
+        self.updates_available.set()
 
     def _log_signal(
         self,
--- a/wingfall/gateway/peers/signal_exchange.py
+++ b/wingfall/gateway/peers/signal_exchange.py
@@ -75,7 +75,7 @@
 
     def wait(self) -> None:
         """Wait for entries that this gateway has not sent."""
-        self._signals.news.wait()
+        self._signals.updates_available.wait()
 
     def take_untold(self) -> SignalUpdates:
         """Return and clear the entries that were not sent yet.
