--- a/tests/test_endpoint_signals.py
+++ b/tests/test_endpoint_signals.py
@@ -102,7 +102,7 @@
     for name in (ENDPOINT, 'gone'):
         signals.note_answer(name, AnswerSignals(rate=2, leaving=True), 900)
     clock.advance(61_000)
-    signals.forget({ENDPOINT})
+    signals.remove_expired({ENDPOINT})
     assert set(signals.limits) == {ENDPOINT}
     assert set(signals.leaving) == {ENDPOINT}
 
--- a/tests/test_sending_gate.py
+++ b/tests/test_sending_gate.py
@@ -181,7 +181,7 @@
     year_ms = 365 * 86_400_000
     signals.note_answer(ENDPOINT, AnswerSignals(rest_ms=year_ms), 900)
     clock.advance(year_ms - 1)
-    signals.forget({ENDPOINT})
+    signals.remove_expired({ENDPOINT})
     assert gate.take(ENDPOINT) is Held.resting
     clock.advance(251)
     assert gate.take(ENDPOINT) is None
--- a/wingfall/gateway/knowledge/endpoint_knowledge.py
+++ b/wingfall/gateway/knowledge/endpoint_knowledge.py
@@ -260,7 +260,7 @@
         self.crashes.forget_old()
         names = self.table.names
         self.health.forget(names)
-        self.signals.forget(names)
+        self.signals.remove_expired(names)
         self.caches.forget(names)
         self.speeds.keep_only(names)
         self.full_gaps.keep_only(names)
--- a/wingfall/gateway/knowledge/endpoint_signals.py
+++ b/wingfall/gateway/knowledge/endpoint_signals.py
@@ -175,7 +175,7 @@
         self.updates_available.clear()
         return unreported
 
-    def forget(self, listed: Collection[str]) -> None:
+    def remove_expired(self, listed: Collection[str]) -> None:
         """Remove expired signals, and those of endpoints that left.
 
         :param listed: names of the listed endpoints.
