--- a/wingfall/gateway/knowledge/endpoint_rests.py
+++ b/wingfall/gateway/knowledge/endpoint_rests.py
@@ -77,7 +77,7 @@
         """
         return self._until_ms.get(endpoint, 0) > self._clock.now_ms()
 
-    def forget(self) -> None:
+    def remove_expired(self) -> None:
         """Remove the rests whose retention period is over."""
         oldest_ms = self._clock.now_ms() - _RETENTION_MS
         self._until_ms = {
--- a/wingfall/gateway/knowledge/endpoint_signals.py
+++ b/wingfall/gateway/knowledge/endpoint_signals.py
@@ -181,7 +181,7 @@
         :param listed: names of the listed endpoints.
         """
         oldest_ms = self._clock.now_ms() - _RETENTION_MS
-        self.rests.forget()
+        self.rests.remove_expired()
         self._limits = {
             name: limit
             for name, limit in self._limits.items()
