--- a/wingfall/gateway/knowledge/endpoint_rests.py
+++ b/wingfall/gateway/knowledge/endpoint_rests.py
@@ -41,7 +41,7 @@
         return self._until_ms
 
     @property
-    def names(self) -> list[str]:
+    def resting_names(self) -> list[str]:
         """Sorted names of the endpoints that are resting now."""
         return sorted(filter(self.is_resting, self._until_ms))
 
--- a/wingfall/gateway/status.py
+++ b/wingfall/gateway/status.py
@@ -39,7 +39,7 @@
         'blocked_requests': state.blocks.count,
         'limited_endpoints': state.gate.status(),
         'leaving_endpoints': sorted(signals.leaving),
-        'resting_endpoints': signals.rests.names,
+        'resting_endpoints': signals.rests.resting_names,
         'engine_rates': _show_rates(state),
         'start_errors': list_start_errors(state.knowledge.starts),
         'engine_groups': state.kept_engines.status(),
