--- a/tests/test_endpoint_health.py
+++ b/tests/test_endpoint_health.py
@@ -44,7 +44,7 @@
 def test_endpoints_that_left_are_forgotten(clock: ManualClock):
     health = EndpointHealth(clock=clock)
     health.note_unreachable('one')
-    health.forget(set())
+    health.retain_only(set())
     assert not health.is_out('one')
 
 
--- a/wingfall/gateway/knowledge/endpoint_health.py
+++ b/wingfall/gateway/knowledge/endpoint_health.py
@@ -162,7 +162,7 @@
         record = self._records.get(name)
         return 0 if record is None else self._decayed_rate(record)
 
-    def forget(self, names: set[str]) -> None:
+    def retain_only(self, names: set[str]) -> None:
         """Remove the endpoints that are not listed.
 
         :param names: names of the listed endpoints.
--- a/wingfall/gateway/knowledge/endpoint_knowledge.py
+++ b/wingfall/gateway/knowledge/endpoint_knowledge.py
@@ -259,7 +259,7 @@
         """Remove the state of unlisted endpoints, and old crashes."""
         self.crashes.forget_old()
         names = self.table.names
-        self.health.forget(names)
+        self.health.retain_only(names)
         self.signals.remove_expired(names)
         self.caches.forget(names)
         self.speeds.keep_only(names)
