--- a/tests/load_replay.py
+++ b/tests/load_replay.py
@@ -242,7 +242,7 @@
         self.knowledge = EndpointKnowledge(
             clock=clock,
             rates=rates,
-            starts=starts(fixed_time=rates.fixed_ms),
+            start_estimates=starts(fixed_time=rates.fixed_ms),
             full_gaps=FullGaps(clock=clock, reports_gaps=True),
         )
         self.session = SimpleNamespace(name=name, zone='a')
@@ -475,7 +475,7 @@
         call.entry.begin_output()
         knowledge, now_ms = call.gateway.knowledge, self.clock.now_ms()
         knowledge.caches.confirm_read(engine.name, call.prompt)
-        knowledge.starts.note(POOL, 0, to.start_ms, now_ms - sent_ms)
+        knowledge.start_estimates.note(POOL, 0, to.start_ms, now_ms - sent_ms)
         pending, own = to.candidate.reading_tokens, to.load.reading_tokens
         knowledge.speeds.note_start(
             engine.name, POOL, pending + own, now_ms - sent_ms, pending
--- a/tests/test_sized_rates.py
+++ b/tests/test_sized_rates.py
@@ -28,7 +28,7 @@
     return EndpointKnowledge(
         clock=clock,
         rates=SharedRates(clock=clock),
-        starts=CorrectedEstimates(),
+        start_estimates=CorrectedEstimates(),
         large_pool=LARGE_POOL,
     )
 
--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -284,7 +284,7 @@
         while not self._supervisor.stopped:
             gevent.sleep(_FORGET_MS / MS_PER_S)
             self._state.knowledge.forget_departed()
-            set_start_errors(self._metrics, self._state.knowledge.starts)
+            set_start_errors(self._metrics, self._state.knowledge.start_estimates)
             names = self._state.knowledge.table.names
             self._state.connections.forget(names)
             self._state.gate.forget(names)
--- a/wingfall/gateway/calls/admission.py
+++ b/wingfall/gateway/calls/admission.py
@@ -93,7 +93,7 @@
     pool: str,
     chosen: Destination,
 ) -> Result[Destination, Refusal]:
-    error = state.knowledge.starts.error(pool, call.priority)
+    error = state.knowledge.start_estimates.error(pool, call.priority)
     estimate = functools.partial(
         estimate_start, state, call, margin=start_margin(error)
     )
--- a/wingfall/gateway/calls/attempt_tracker.py
+++ b/wingfall/gateway/calls/attempt_tracker.py
@@ -192,7 +192,7 @@
         if self._call.head.prompt is None or destination.continues:
             return
         self._state.knowledge.note_first_event(destination.endpoint.pool)
-        self._state.knowledge.starts.note(
+        self._state.knowledge.start_estimates.note(
             destination.endpoint.pool,
             self._call.priority,
             self._estimate_ms,
--- a/wingfall/gateway/knowledge/endpoint_knowledge.py
+++ b/wingfall/gateway/knowledge/endpoint_knowledge.py
@@ -73,7 +73,7 @@
         'long_reads',
         'signals',
         'speeds',
-        'starts',
+        'start_estimates',
         'table',
     )
 
@@ -83,7 +83,7 @@
         clock: Clock,
         name: str = '',
         rates: Rates | None = None,
-        starts: StartEstimates | None = None,
+        start_estimates: StartEstimates | None = None,
         full_gaps: FullGaps | None = None,
         large_pool: int = 0,
         short_gap_ms: int = 0,
@@ -93,7 +93,7 @@
         :param clock: the clock that all tables share.
         :param name: name of this gateway.
         :param rates: prefill rates of engines.
-        :param starts: corrects estimates of first events.
+        :param start_estimates: corrects estimates of first events.
         :param full_gaps: token gaps of streams during a prefill.
         :param large_pool: number of engines from which a pool counts as large.
         :param short_gap_ms: longest token gap in milliseconds that counts as
@@ -125,7 +125,7 @@
             )
         self.speeds = EngineSpeeds(rates=rates, full_gaps=self.full_gaps)
         # Errors of first event estimates, from first events received.
-        self.starts = starts or StartEstimates()
+        self.start_estimates = start_estimates or StartEstimates()
         # Recent long prefills, from all gateways.
         self.long_reads = LongReads(clock=clock)
         # Failure rates, from the calls of all gateways.
@@ -176,7 +176,7 @@
         """
         if not self.judges_together(pool):
             return estimate_ms
-        return self.starts.expected_ms(pool, tier, estimate_ms)
+        return self.start_estimates.expected_ms(pool, tier, estimate_ms)
 
     def speed(self, name: str) -> EngineSpeed:
         """Return the measured speed of an engine.
--- a/wingfall/gateway/status.py
+++ b/wingfall/gateway/status.py
@@ -41,7 +41,7 @@
         'leaving_endpoints': sorted(signals.leaving),
         'resting_endpoints': signals.rests.resting_names,
         'engine_rates': _show_rates(state),
-        'start_errors': list_start_errors(state.knowledge.starts),
+        'start_errors': list_start_errors(state.knowledge.start_estimates),
         'engine_groups': state.kept_engines.status(),
         'duties': duties,
     }
