--- a/wingfall/gateway/knowledge/load.py
+++ b/wingfall/gateway/knowledge/load.py
@@ -41,7 +41,7 @@
         self.streams = streams or {}
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no request runs at the endpoint."""
         return not self.running
 
@@ -145,7 +145,7 @@
         self._unreported.add(endpoint)
         own = self._own.setdefault(endpoint, EndpointLoad())
         own.add(load, sign)
-        if own.idle:
+        if own.is_idle:
             self._own.pop(endpoint)
 
     def take_from_peer(
@@ -166,7 +166,7 @@
         known = self._peers.setdefault(peer, {})
         for name, load in loads:
             self._replace(name, known.pop(name, None), load)
-            if not load.idle:
+            if not load.is_idle:
                 known[name] = load
 
     def forget(self, peer: str) -> None:
@@ -187,7 +187,7 @@
         if known is not None:
             peer_total.add(known, -1)
         peer_total.add(load)
-        if peer_total.idle:
+        if peer_total.is_idle:
             self._peer_totals.pop(endpoint)
 
 
