--- a/tests/test_gateway_load.py
+++ b/tests/test_gateway_load.py
@@ -97,10 +97,10 @@
 def test_peers_hear_what_changed_and_what_ended():
     table = LoadTable()
     entry = table.start('one', EndpointLoad(running=1))
-    assert table.take_changed()['one'].running == 1
+    assert table.take_unreported()['one'].running == 1
     assert not table.has_changed
     entry.end()
-    assert table.take_changed()['one'].running == 0
+    assert table.take_unreported()['one'].running == 0
 
 
 def test_sum_fades(clock: ManualClock):
--- a/wingfall/gateway/knowledge/load.py
+++ b/wingfall/gateway/knowledge/load.py
@@ -86,7 +86,7 @@
         """Whether own work has changes not yet reported to peers."""
         return bool(self._unreported)
 
-    def take_changed(self) -> dict[str, EndpointLoad]:
+    def take_unreported(self) -> dict[str, EndpointLoad]:
         """Return own work with unreported changes and mark it as reported.
 
         :returns: own work by endpoint, idle where all requests have ended.
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -118,7 +118,7 @@
         :param whole: whether to encode all loads.
         :returns: the entries of a heartbeat.
         """
-        changed = self._knowledge.load.take_changed()
+        changed = self._knowledge.load.take_unreported()
         return self.own_loads() if whole else write_loads(changed)
 
     def take_activity(self) -> Activity:
