--- a/wingfall/gateway/knowledge/load.py
+++ b/wingfall/gateway/knowledge/load.py
@@ -135,7 +135,7 @@
         """
         return LoadEntry(table=self, endpoint=endpoint, load=load)
 
-    def change(self, endpoint: str, load: EndpointLoad, sign: int) -> None:
+    def adjust_own(self, endpoint: str, load: EndpointLoad, sign: int) -> None:
         """Adjust this gateway's own work at an endpoint.
 
         :param endpoint: name of the endpoint.
@@ -216,7 +216,7 @@
         self._load = EndpointLoad()
         self._load.add(load)
         self._has_output = False
-        table.change(endpoint, load, 1)
+        table.adjust_own(endpoint, load, 1)
 
     def begin_output(self) -> bool:
         """Record that the prefill of the prompt has ended.
@@ -228,7 +228,7 @@
         self._has_output = True
         prefilled = EndpointLoad(reading_tokens=self._load.reading_tokens)
         self._load.reading_tokens = 0
-        self._table.change(self._endpoint, prefilled, -1)
+        self._table.adjust_own(self._endpoint, prefilled, -1)
         return True
 
     def end(self) -> None:
@@ -236,4 +236,4 @@
         ended = self._load
         self._load = EndpointLoad()
         if ended.running:
-            self._table.change(self._endpoint, ended, -1)
+            self._table.adjust_own(self._endpoint, ended, -1)
