--- a/tests/exchange_site.py
+++ b/tests/exchange_site.py
@@ -144,7 +144,7 @@
         gateway.alive = False
         for each in self.gateways:
             each.sessions.pop(gateway.name, None)
-            each.load.forget(gateway.name)
+            each.load.remove_peer(gateway.name)
 
     def cut_off(self, gateway: Gateway) -> None:
         """Remove all sessions between a gateway and other zones."""
--- a/tests/test_gateway_load.py
+++ b/tests/test_gateway_load.py
@@ -76,7 +76,7 @@
     assert table.total('one').running == 3
     table.take_from_peer('peer', [('two', EndpointLoad(running=1))], whole=True)
     assert table.total('one').running == 1
-    table.forget('peer')
+    table.remove_peer('peer')
     assert table.total('one').running == 1
 
 
--- a/wingfall/gateway/knowledge/load.py
+++ b/wingfall/gateway/knowledge/load.py
@@ -162,14 +162,14 @@
         :param whole: whether the peer has no work at other endpoints.
         """
         if whole:
-            self.forget(peer)
+            self.remove_peer(peer)
         known = self._peers.setdefault(peer, {})
         for name, load in loads:
             self._replace(name, known.pop(name, None), load)
             if not load.is_idle:
                 known[name] = load
 
-    def forget(self, peer: str) -> None:
+    def remove_peer(self, peer: str) -> None:
         """Remove the work of a departed peer.
 
         :param peer: name of the peer.
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -149,7 +149,7 @@
         :param session: the session that ended.
         """
         self._exchange.forget(session)
-        self._load.forget(session.name)
+        self._load.remove_peer(session.name)
         self._updates.forget(session)
         if self._duties is not None:
             self._duties.forget(session)
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -216,7 +216,7 @@
         for zone, last_seen_ms in list(self._zone_seen_ms.items()):
             if now_ms - last_seen_ms > _ZONE_TIMEOUT_MS:
                 self._zone_seen_ms.pop(zone)
-                self._knowledge.load.forget(_source(zone))
+                self._knowledge.load.remove_peer(_source(zone))
                 log_event(
                     'peers',
                     'A zone has fallen silent; its work is forgotten.',
