--- a/wingfall/gateway/knowledge/customer_work.py
+++ b/wingfall/gateway/knowledge/customer_work.py
@@ -111,7 +111,7 @@
             self._by_customer[customer] = known
         known.add(work, 1 / self._decay_factor(now_ms))
 
-    def read(self, now_ms: int) -> Iterator[tuple[str, Work]]:
+    def decayed_work(self, now_ms: int) -> Iterator[tuple[str, Work]]:
         """Return the decayed work of all customers.
 
         :param now_ms: current clock time in milliseconds.
@@ -130,7 +130,7 @@
     def _sweep(self, now_ms: int) -> None:
         self._by_customer = {
             customer: work
-            for customer, work in self.read(now_ms)
+            for customer, work in self.decayed_work(now_ms)
             if work.asked >= _MIN_RETAINED_TOKENS
         }
         self._scaled_to_ms = now_ms
@@ -208,7 +208,7 @@
         :returns: the work by customer.
         """
         known = self._pools.get(pool)
-        return {} if known is None else dict(known.read(self._clock.now_ms()))
+        return {} if known is None else dict(known.decayed_work(self._clock.now_ms()))
 
     def is_settled(self, pool: str) -> bool:
         """Check if work of a pool is recorded for long enough to be compared.
