--- a/tests/test_customer_work.py
+++ b/tests/test_customer_work.py
@@ -24,21 +24,21 @@
 
 def requested_work(work: CustomerWork, customer: str) -> float:
     """Return the work that a customer requested."""
-    return work.read(POOL)[customer].asked
+    return work.decayed_work(POOL)[customer].asked
 
 
 def test_work_fades(work: CustomerWork, clock: ManualClock):
     work.note(POOL, 'aker', Work(asked=4000, given=2000))
     clock.advance(HALF_LIFE_MS)
     work.note(POOL, 'aker', Work(asked=1000))
-    decayed = work.read(POOL)['aker']
+    decayed = work.decayed_work(POOL)['aker']
     assert decayed.asked == pytest.approx(3000)
     assert decayed.given == pytest.approx(1000)
 
 
 def test_work_of_pools_is_apart(work: CustomerWork):
     work.note(POOL, 'aker', Work(asked=4000))
-    assert not work.read('others')
+    assert not work.decayed_work('others')
 
 
 def test_answers_count_beside_what_is_read():
@@ -64,7 +64,7 @@
     for _half_life in range(30):
         clock.advance(HALF_LIFE_MS)
         work.note(POOL, 'bryn', Work(asked=4000))
-    assert list(work.read(POOL)) == ['bryn']
+    assert list(work.decayed_work(POOL)) == ['bryn']
     assert requested_work(work, 'bryn') == pytest.approx(8000, rel=0.01)
 
 
@@ -72,7 +72,7 @@
     work.note(POOL, 'aker', Work(asked=90_000))
     for number in range(2 * MAX_CUSTOMERS):
         work.note(POOL, f'customer-{number}', Work(asked=1000))
-        assert number % 1000 or len(work.read(POOL)) <= MAX_CUSTOMERS
+        assert number % 1000 or len(work.decayed_work(POOL)) <= MAX_CUSTOMERS
     assert requested_work(work, 'aker') == 90_000
 
 
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -247,7 +247,7 @@
     gateway = Gateway(clock=ManualClock(start_ms=1000))
     report = [[POOL, HOT, 4000, 2000, 'later']]
     note_activity(Activity(work=report), gateway.knowledge)
-    assert gateway.knowledge.customer_work.read(POOL)[HOT].given == 2000
+    assert gateway.knowledge.customer_work.decayed_work(POOL)[HOT].given == 2000
 
 
 def test_nonsense_of_a_peer_is_no_fault():
--- a/wingfall/gateway/knowledge/customer_work.py
+++ b/wingfall/gateway/knowledge/customer_work.py
@@ -201,7 +201,7 @@
             for (pool, customer), work in unreported.items()
         ]
 
-    def read(self, pool: str) -> dict[str, Work]:
+    def decayed_work(self, pool: str) -> dict[str, Work]:
         """Return the decayed work of a pool's customers.
 
         :param pool: name of the pool.
