--- a/wingfall/gateway/calls/attempt_outcome.py
+++ b/wingfall/gateway/calls/attempt_outcome.py
@@ -36,7 +36,7 @@
 class AttemptOutcome:
     """The end of an attempt, with the buffered answer if there is one."""
 
-    __slots__ = ('answer', 'end', 'left', 'reason')
+    __slots__ = ('answer', 'end', 'is_abandoned', 'reason')
 
     def __init__(
         self,
@@ -44,19 +44,19 @@
         end: AttemptEnd,
         answer: WholeAnswer | None = None,
         reason: str = '',
-        left: bool = False,
+        is_abandoned: bool = False,
     ) -> None:
         """Create an outcome.
 
         :param end: the kind of end.
         :param answer: an answer that has not been forwarded yet.
         :param reason: the observed cause, for logs.
-        :param left: whether this side, not the endpoint, gave up.
+        :param is_abandoned: whether this side, not the endpoint, gave up.
         """
         self.end = end
         self.answer = answer
         self.reason = reason
-        self.left = left
+        self.is_abandoned = is_abandoned
 
     @property
     def succeeded(self) -> bool:
--- a/wingfall/gateway/calls/attempt_tracker.py
+++ b/wingfall/gateway/calls/attempt_tracker.py
@@ -155,7 +155,7 @@
     def _note_crash_evidence(self, outcome: AttemptOutcome) -> None:
         state, endpoint = self._state, self._destination.endpoint
         fingerprint = self._call.fingerprint
-        is_abandoned = outcome.left or outcome.end is AttemptEnd.late
+        is_abandoned = outcome.is_abandoned or outcome.end is AttemptEnd.late
         if outcome.succeeded:
             state.knowledge.crashes.note_served(fingerprint)
         elif is_abandoned and self._first_output_ms is None:
--- a/wingfall/gateway/calls/dispatcher.py
+++ b/wingfall/gateway/calls/dispatcher.py
@@ -206,7 +206,7 @@
         outcome = AttemptOutcome(
             end=AttemptEnd.cut,
             reason='the caller left',
-            left=True,
+            is_abandoned=True,
         )
         try:
             outcome = attempt.run(self._limits(destination))
