--- a/tests/test_token_gap_watch.py
+++ b/tests/test_token_gap_watch.py
@@ -26,7 +26,7 @@
     load = LoadTable()
     watch = make_watch(load, clock)
     watch.note_event()
-    assert watch.longest_ms is None
+    assert watch.longest_gap_ms is None
     clock.advance(30)
     watch.note_event()
     entry = load.start('e1', EndpointLoad(running=1, reading_tokens=9000))
@@ -35,7 +35,7 @@
     entry.begin_output()
     clock.advance(40)
     watch.note_event()
-    assert watch.longest_ms == 220
+    assert watch.longest_gap_ms == 220
     assert watch.longest_reading_tokens == 9000
 
 
--- a/wingfall/gateway/calls/attempt_log.py
+++ b/wingfall/gateway/calls/attempt_log.py
@@ -62,7 +62,7 @@
         ms=now_ms - started_ms,
         left_ms=call.deadline_ms - now_ms,
         first_ms=first_ms,
-        gap_ms=gap_watch.longest_ms,
+        gap_ms=gap_watch.longest_gap_ms,
         gap_reading=gap_watch.longest_reading_tokens,
         **_describe_load(destination.candidate),
         unread=destination.load.reading_tokens,
--- a/wingfall/gateway/calls/token_gap_watch.py
+++ b/wingfall/gateway/calls/token_gap_watch.py
@@ -25,7 +25,7 @@
         '_load',
         '_last_prefill_tokens',
         '_speed',
-        'longest_ms',
+        'longest_gap_ms',
         'longest_reading_tokens',
     )
 
@@ -51,7 +51,7 @@
         self._last_event_ms: int | None = None
         self._last_prefill_tokens = 0
         # Longest token gap in milliseconds, None before the second event.
-        self.longest_ms: int | None = None
+        self.longest_gap_ms: int | None = None
         # Pending prefill tokens of the engine during that gap.
         self.longest_reading_tokens = 0
 
@@ -68,15 +68,15 @@
 
     def end(self) -> None:
         """Record the end of the stream."""
-        if self.longest_ms is not None:
+        if self.longest_gap_ms is not None:
             self._speed.note_longest_gap(
-                self.longest_ms,
+                self.longest_gap_ms,
                 self.longest_reading_tokens,
             )
 
     def _note_gap(self, gap_ms: int, reading_tokens: int) -> None:
         if not reading_tokens:
             self._speed.note_gap(gap_ms)
-        if self.longest_ms is None or gap_ms > self.longest_ms:
-            self.longest_ms = gap_ms
+        if self.longest_gap_ms is None or gap_ms > self.longest_gap_ms:
+            self.longest_gap_ms = gap_ms
             self.longest_reading_tokens = reading_tokens
