--- a/tests/test_token_gap_watch.py
+++ b/tests/test_token_gap_watch.py
@@ -36,7 +36,7 @@
     clock.advance(40)
     watch.note_event()
     assert watch.longest_gap_ms == 220
-    assert watch.longest_reading_tokens == 9000
+    assert watch.longest_gap_prefill_tokens == 9000
 
 
 def test_read_that_ended_in_the_pause_counts(clock: ManualClock):
@@ -47,7 +47,7 @@
     clock.advance(120)
     entry.begin_output()
     watch.note_event()
-    assert watch.longest_reading_tokens == 5000
+    assert watch.longest_gap_prefill_tokens == 5000
 
 
 def test_speed_learns_pauses_without_reads_at_once(clock: ManualClock):
--- a/wingfall/gateway/calls/attempt_log.py
+++ b/wingfall/gateway/calls/attempt_log.py
@@ -63,7 +63,7 @@
         left_ms=call.deadline_ms - now_ms,
         first_ms=first_ms,
         gap_ms=gap_watch.longest_gap_ms,
-        gap_reading=gap_watch.longest_reading_tokens,
+        gap_reading=gap_watch.longest_gap_prefill_tokens,
         **_describe_load(destination.candidate),
         unread=destination.load.reading_tokens,
         start_ms=int(estimate_ms),
--- a/wingfall/gateway/calls/token_gap_watch.py
+++ b/wingfall/gateway/calls/token_gap_watch.py
@@ -26,7 +26,7 @@
         '_last_prefill_tokens',
         '_speed',
         'longest_gap_ms',
-        'longest_reading_tokens',
+        'longest_gap_prefill_tokens',
     )
 
     def __init__(
@@ -53,7 +53,7 @@
         # Longest token gap in milliseconds, None before the second event.
         self.longest_gap_ms: int | None = None
         # Pending prefill tokens of the engine during that gap.
-        self.longest_reading_tokens = 0
+        self.longest_gap_prefill_tokens = 0
 
     def note_event(self) -> None:
         """Record the arrival of events of the stream."""
@@ -71,7 +71,7 @@
         if self.longest_gap_ms is not None:
             self._speed.note_longest_gap(
                 self.longest_gap_ms,
-                self.longest_reading_tokens,
+                self.longest_gap_prefill_tokens,
             )
 
     def _note_gap(self, gap_ms: int, reading_tokens: int) -> None:
@@ -79,4 +79,4 @@
             self._speed.note_gap(gap_ms)
         if self.longest_gap_ms is None or gap_ms > self.longest_gap_ms:
             self.longest_gap_ms = gap_ms
-            self.longest_reading_tokens = reading_tokens
+            self.longest_gap_prefill_tokens = reading_tokens
