--- a/wingfall/gateway/calls/dispatcher.py
+++ b/wingfall/gateway/calls/dispatcher.py
@@ -235,7 +235,7 @@
             self._send_whole(outcome.answer)
 
     def _send_whole(self, answer: WholeAnswer) -> None:
-        self._reply.send_whole(answer.status, answer.headers, answer.body)
+        self._reply.send_answer(answer.status, answer.headers, answer.body)
 
     def _record_failure(
         self,
--- a/wingfall/gateway/calls/final_answer.py
+++ b/wingfall/gateway/calls/final_answer.py
@@ -49,7 +49,7 @@
             'run': refusal.run,
         },
     }
-    reply.send_whole(refusal.status, headers, orjson.dumps(body))
+    reply.send_answer(refusal.status, headers, orjson.dumps(body))
     log_event(
         'refusal',
         'A call was refused.',
@@ -77,7 +77,7 @@
     :param status: the HTTP status.
     """
     body = {'error': {'message': 'Not a request.'}}
-    reply.send_whole(status, [_JSON_CONTENT_TYPE], orjson.dumps(body))
+    reply.send_answer(status, [_JSON_CONTENT_TYPE], orjson.dumps(body))
 
 
 def note_answer(state: GatewayState, call: Call, reply: Reply) -> None:
--- a/wingfall/gateway/calls/reply.py
+++ b/wingfall/gateway/calls/reply.py
@@ -76,7 +76,7 @@
         # too; None before the second event.
         self.longest_gap_ms: int | None = None
 
-    def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
+    def send_answer(self, status: int, headers: Headers, body: bytes) -> None:
         """Write a complete answer.
 
         :param status: the HTTP status.
