--- a/tests/test_prefix_cache.py
+++ b/tests/test_prefix_cache.py
@@ -36,7 +36,7 @@
 def test_recent_parts_come_latest_last():
     cache = PrefixCache()
     cache.note(parts('a', 'b', 'c'))
-    assert cache.recent(2) == [('b', 100), ('c', 100)]
+    assert cache.recent_parts(2) == [('b', 100), ('c', 100)]
 
 
 def test_part_is_being_read_until_it_is_read():
--- a/wingfall/gateway/knowledge/prefix_cache.py
+++ b/wingfall/gateway/knowledge/prefix_cache.py
@@ -191,7 +191,7 @@
             self._remove(part_id)
         self._ready_ms.clear()
 
-    def recent(self, limit: int) -> list[tuple[str, int]]:
+    def recent_parts(self, limit: int) -> list[tuple[str, int]]:
         """Return the most recently used parts, for a peer.
 
         :param limit: maximum number of parts.
