--- a/tests/load_replay.py
+++ b/tests/load_replay.py
@@ -447,7 +447,7 @@
         sent = SentPrompt(
             endpoint=name,
             parts=call.prompt.shared,
-            unread=uncached,
+            uncached_tokens=uncached,
         )
         now_ms = self.clock.now_ms()
         knowledge.caches.note_sent(sent, now_ms + int(to.start_ms))
--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -191,7 +191,7 @@
     ),
     'reads under way': (
         lambda known, name: known.caches.note_sent(
-            SentPrompt(endpoint=name, parts=PARTS, unread=500), 10_000
+            SentPrompt(endpoint=name, parts=PARTS, uncached_tokens=500), 10_000
         ),
         lambda known, name: (
             known.caches.find(name).pending_read(PARTS, 0).tokens
--- a/tests/test_load_exchange.py
+++ b/tests/test_load_exchange.py
@@ -101,7 +101,7 @@
 
 def test_prompts_that_were_sent_are_known_in_all_zones(site: Site):
     sender = site.gateways[0]
-    sent = SentPrompt(endpoint='e1', parts=PARTS, unread=2000)
+    sent = SentPrompt(endpoint='e1', parts=PARTS, uncached_tokens=2000)
     sender.caches.note_sent(sent, 0)
     site.tick()
     site.tick()
--- a/wingfall/gateway/knowledge/prefix_caches.py
+++ b/wingfall/gateway/knowledge/prefix_caches.py
@@ -21,24 +21,24 @@
 class SentPrompt:
     """A prompt that a gateway sent to an engine."""
 
-    __slots__ = ('endpoint', 'parts', 'unread')
+    __slots__ = ('endpoint', 'parts', 'uncached_tokens')
 
     def __init__(
         self,
         *,
         endpoint: str,
         parts: tuple[PromptPart, ...],
-        unread: int,
+        uncached_tokens: int,
     ) -> None:
         """Initialize the sent prompt.
 
         :param endpoint: name of the engine.
         :param parts: shared parts of the prompt.
-        :param unread: tokens that the engine likely didn't cache.
+        :param uncached_tokens: tokens that the engine likely didn't cache.
         """
         self.endpoint = endpoint
         self.parts = parts
-        self.unread = unread
+        self.uncached_tokens = uncached_tokens
 
 
 @final
@@ -124,7 +124,7 @@
         self.find(endpoint).note(parts)
         reported = parts[-RECENT_PARTS:]
         self.unsent.append(
-            SentPrompt(endpoint=endpoint, parts=reported, unread=0)
+            SentPrompt(endpoint=endpoint, parts=reported, uncached_tokens=0)
         )
 
     def take_unsent(self) -> list[SentPrompt]:
--- a/wingfall/gateway/peers/loads/load_entries.py
+++ b/wingfall/gateway/peers/loads/load_entries.py
@@ -110,7 +110,7 @@
         shared part.
     """
     parts = [[part.part_id, part.tokens] for part in sent.parts]
-    return [sent.endpoint, sent.unread, *parts]
+    return [sent.endpoint, sent.uncached_tokens, *parts]
 
 
 def write_outcomes(outcomes: dict[str, Outcomes]) -> list[list[Any]]:
