--- a/tests/test_memory_survey.py
+++ b/tests/test_memory_survey.py
@@ -52,7 +52,7 @@
         PromptPart(part_id=f'p{number}', tokens=1)
         for number in range(RECENT_PARTS + 10)
     )
-    caches.learn('e1', parts)
+    caches.note_cached('e1', parts)
     (report,) = caches.take_unsent()
     assert report.endpoint == 'e1'
     assert report.parts == parts[-RECENT_PARTS:]
--- a/wingfall/gateway/knowledge/prefix_caches.py
+++ b/wingfall/gateway/knowledge/prefix_caches.py
@@ -115,7 +115,7 @@
         """
         self.find(endpoint).drop_unconfirmed(prompt.shared)
 
-    def learn(self, endpoint: str, parts: tuple[PromptPart, ...]) -> None:
+    def note_cached(self, endpoint: str, parts: tuple[PromptPart, ...]) -> None:
         """Record the parts that an engine reports, for peers as well.
 
         :param endpoint: name of the engine.
--- a/wingfall/gateway/peers/caches/memory_survey.py
+++ b/wingfall/gateway/peers/caches/memory_survey.py
@@ -139,7 +139,7 @@
     def _query(self, engine: PoolEndpoint) -> None:
         answer = self._fetch_memory(engine).bind(self._binding.read_memory)
         if isinstance(answer, Success):
-            self._knowledge.caches.learn(engine.name, answer.unwrap())
+            self._knowledge.caches.note_cached(engine.name, answer.unwrap())
         log_event(
             'survey',
             'An engine was asked what it keeps.',
