--- a/wingfall/gateway/knowledge/endpoint_knowledge.py
+++ b/wingfall/gateway/knowledge/endpoint_knowledge.py
@@ -261,7 +261,7 @@
         names = self.table.names
         self.health.retain_only(names)
         self.signals.remove_expired(names)
-        self.caches.forget(names)
+        self.caches.retain_only(names)
         self.speeds.keep_only(names)
         self.full_gaps.keep_only(names)
         self.long_reads.keep_only(names)
--- a/wingfall/gateway/knowledge/prefix_caches.py
+++ b/wingfall/gateway/knowledge/prefix_caches.py
@@ -136,7 +136,7 @@
         self.unsent = []
         return unsent
 
-    def forget(self, names: set[str]) -> None:
+    def retain_only(self, names: set[str]) -> None:
         """Remove the models of all endpoints that are not listed.
 
         :param names: names of the endpoints to retain.
