--- a/wingfall/gateway/duties/usage_duty.py
+++ b/wingfall/gateway/duties/usage_duty.py
@@ -87,7 +87,7 @@
 
     def _drop_late(self) -> None:
         late = self._counts.next_window
-        while self._counts.end_ms(late) > self._terms.late_ms:
+        while self._counts.ms_since_end(late) > self._terms.late_ms:
             log_event(
                 'usage',
                 'A window was not reported in time.',
@@ -102,11 +102,11 @@
         return [
             window
             for window in range(self._counts.next_window, self._counts.window)
-            if self._counts.end_ms(window) >= _SETTLE_MS
+            if self._counts.ms_since_end(window) >= _SETTLE_MS
         ]
 
     def _stand(self, window: int) -> bool:
-        waited_ms = self._counts.end_ms(window) - _SETTLE_MS
+        waited_ms = self._counts.ms_since_end(window) - _SETTLE_MS
         if not self._standing.steps_in(waited_ms):
             return False
         # What its holder has done meanwhile is news to this gateway.
@@ -174,7 +174,7 @@
             token=self._lease.fence.token,
             requests=sum(counts.values()),
             customers=len(counts),
-            ended_ms=self._counts.end_ms(window),
+            ended_ms=self._counts.ms_since_end(window),
             ms=self._clock.now_ms() - started_ms,
             reason='' if done else str(sent.failure()),
         )
--- a/wingfall/gateway/knowledge/usage_counts.py
+++ b/wingfall/gateway/knowledge/usage_counts.py
@@ -70,7 +70,7 @@
         """
         return self.delivered + 1 if self.delivered else self._first_window
 
-    def end_ms(self, window: int) -> int:
+    def ms_since_end(self, window: int) -> int:
         """Return the time since a window ended.
 
         :param window: number of the window.
