--- a/tests/test_usage_counts.py
+++ b/tests/test_usage_counts.py
@@ -74,11 +74,11 @@
 
 def test_counts_that_are_told_twice_or_late_do_no_harm(counts: UsageCounts):
     counts.note('oslo', WINDOW * WINDOW_MS)
-    counts.take('b/1', [(WINDOW, 'oslo', 7)])
-    counts.take('b/1', [(WINDOW, 'oslo', 5)])
-    counts.take('b/1', [(WINDOW, 'oslo', 7)])
+    counts.merge_reported('b/1', [(WINDOW, 'oslo', 7)])
+    counts.merge_reported('b/1', [(WINDOW, 'oslo', 5)])
+    counts.merge_reported('b/1', [(WINDOW, 'oslo', 7)])
     # The same gateway after a restart; its earlier reports still count.
-    counts.take('b/2', [(WINDOW, 'oslo', 2)])
+    counts.merge_reported('b/2', [(WINDOW, 'oslo', 2)])
     assert counts.sum(WINDOW) == {'oslo': 10}
 
 
@@ -93,7 +93,7 @@
 
 def test_old_windows_are_forgotten(clock: ManualClock, counts: UsageCounts):
     counts.note('oslo', clock.now_ms())
-    counts.take('b/1', [(WINDOW, 'oslo', 7)])
+    counts.merge_reported('b/1', [(WINDOW, 'oslo', 7)])
     clock.advance(WINDOW_MS * 7)
     counts.forget_old()
     assert not counts.sum(WINDOW)
--- a/wingfall/gateway/knowledge/usage_counts.py
+++ b/wingfall/gateway/knowledge/usage_counts.py
@@ -110,7 +110,7 @@
             if changed > revision
         ]
 
-    def take(
+    def merge_reported(
         self, source: str, entries: Iterable[tuple[int, str, int]]
     ) -> None:
         """Merge the counts that another gateway reported.
--- a/wingfall/gateway/peers/duty_exchange.py
+++ b/wingfall/gateway/peers/duty_exchange.py
@@ -119,7 +119,7 @@
         self._counts.note_delivered(delivered)
         if entries:
             source = f'{session.name}/{session.incarnation}'
-            self._counts.take(source, entries)
+            self._counts.merge_reported(source, entries)
 
     def forget(self, session: PeerSession) -> None:
         """Remove the time of day of a disconnected peer; its counts stay.
