--- a/tests/test_usage_counts.py
+++ b/tests/test_usage_counts.py
@@ -68,8 +68,8 @@
     counts.note('oslo', clock.now_ms())
     counts.note('oslo', clock.now_ms() - 1)
     counts.note('bergen', clock.now_ms() + WINDOW_MS - 1)
-    assert counts.sum(WINDOW) == {'oslo': 1, 'bergen': 1}
-    assert counts.sum(WINDOW - 1) == {'oslo': 1}
+    assert counts.window_totals(WINDOW) == {'oslo': 1, 'bergen': 1}
+    assert counts.window_totals(WINDOW - 1) == {'oslo': 1}
 
 
 def test_counts_that_are_told_twice_or_late_do_no_harm(counts: UsageCounts):
@@ -79,7 +79,7 @@
     counts.merge_reported('b/1', [(WINDOW, 'oslo', 7)])
     # The same gateway after a restart; its earlier reports still count.
     counts.merge_reported('b/2', [(WINDOW, 'oslo', 2)])
-    assert counts.sum(WINDOW) == {'oslo': 10}
+    assert counts.window_totals(WINDOW) == {'oslo': 10}
 
 
 def test_only_what_has_risen_is_told(counts: UsageCounts):
@@ -96,7 +96,7 @@
     counts.merge_reported('b/1', [(WINDOW, 'oslo', 7)])
     clock.advance(WINDOW_MS * 7)
     counts.forget_old()
-    assert not counts.sum(WINDOW)
+    assert not counts.window_totals(WINDOW)
     assert not counts.changes_since(0)
 
 
@@ -173,8 +173,8 @@
     # A later version may report more fields.
     exchange.take(peer, [*report, 'more'])
     exchange.take(peer, [])
-    assert counts.sum(WINDOW) == {'oslo': 3}
+    assert counts.window_totals(WINDOW) == {'oslo': 3}
     assert true_time.now_ms() == clock.now_ms() + 20
     exchange.forget(peer)
     assert true_time.now_ms() == clock.now_ms()
-    assert counts.sum(WINDOW) == {'oslo': 3}
+    assert counts.window_totals(WINDOW) == {'oslo': 3}
--- a/wingfall/gateway/duties/usage_duty.py
+++ b/wingfall/gateway/duties/usage_duty.py
@@ -146,7 +146,7 @@
             if window > self._counts.delivered
         }
         for window in undecided:
-            reports[window] = self._counts.sum(window)
+            reports[window] = self._counts.window_totals(window)
         return self._lease.commit(reports, undecided[-1])
 
     def _deliver(self, window: int) -> bool:
--- a/wingfall/gateway/knowledge/usage_counts.py
+++ b/wingfall/gateway/knowledge/usage_counts.py
@@ -123,7 +123,7 @@
             key = (window, customer)
             known[key] = max(count, known.get(key, 0))
 
-    def sum(self, window: int) -> dict[str, int]:
+    def window_totals(self, window: int) -> dict[str, int]:
         """Return the totals of all gateways for a window.
 
         :param window: number of the window.
