--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -286,7 +286,7 @@
         ]
         for gateway in told:
             for other in told:
-                gateway.counts.note_delivered(other.counts.delivered)
+                gateway.counts.note_delivered(other.counts.delivered_window)
 
     def take_fault(self) -> str:
         """Take what happens to the next call.
--- a/tests/test_usage_counts.py
+++ b/tests/test_usage_counts.py
@@ -104,7 +104,7 @@
     counts: UsageCounts,
 ):
     counts.note_delivered(WINDOW + 3)
-    assert counts.delivered == 0
+    assert counts.delivered_window == 0
     assert counts.next_window == WINDOW
 
 
--- a/wingfall/gateway/duties/assembly.py
+++ b/wingfall/gateway/duties/assembly.py
@@ -127,7 +127,7 @@
             'held': self.lease.held,
             'holder': self.lease.record.name,
             'token': self.lease.fence.token,
-            'delivered_window': self.counts.delivered,
+            'delivered_window': self.counts.delivered_window,
             'window': self.counts.window,
         }
 
--- a/wingfall/gateway/duties/usage_duty.py
+++ b/wingfall/gateway/duties/usage_duty.py
@@ -95,7 +95,7 @@
                 held=self._lease.held,
             )
             self._metrics.decisions.inc({'part': 'usage', 'reason': 'late'})
-            self._counts.delivered = late
+            self._counts.delivered_window = late
             late += 1
 
     def _find_due(self) -> list[int]:
@@ -118,7 +118,7 @@
         decided = window <= record.decided
         if decided and window not in record.reports:
             # Its holder delivered it before it decided later ones.
-            self._counts.delivered = window
+            self._counts.delivered_window = window
             return False
         if not self._standing.replaces(record, unchanged_ms, decided=decided):
             return False
@@ -143,7 +143,7 @@
         reports = {
             window: counts
             for window, counts in record.reports.items()
-            if window > self._counts.delivered
+            if window > self._counts.delivered_window
         }
         for window in undecided:
             reports[window] = self._counts.window_totals(window)
@@ -153,7 +153,7 @@
         counts = self._lease.record.reports.get(window)
         if counts is None:
             # Its holder has delivered it before it decided later ones.
-            self._counts.delivered = window
+            self._counts.delivered_window = window
             return True
         act_ms = self._lease.act_ms
         if act_ms < _LEAST_ACT_MS:
@@ -179,5 +179,5 @@
             reason='' if done else str(sent.failure()),
         )
         if done:
-            self._counts.delivered = window
+            self._counts.delivered_window = window
         return done
--- a/wingfall/gateway/knowledge/usage_counts.py
+++ b/wingfall/gateway/knowledge/usage_counts.py
@@ -34,7 +34,7 @@
         '_own',
         '_true_time',
         '_window_ms',
-        'delivered',
+        'delivered_window',
         'revision',
     )
 
@@ -54,7 +54,7 @@
         # Incremented with each request.
         self.revision = 0
         # The last window up to which all are reported or expired; 0 if unknown.
-        self.delivered = 0
+        self.delivered_window = 0
         self._first_window = self.window
 
     @property
@@ -68,7 +68,7 @@
 
         A starting gateway knows earlier windows only if peers report them.
         """
-        return self.delivered + 1 if self.delivered else self._first_window
+        return self.delivered_window + 1 if self.delivered_window else self._first_window
 
     def ms_since_end(self, window: int) -> int:
         """Return the time since a window ended.
@@ -85,7 +85,7 @@
             not ended, since a wrong time of day must not suppress reports.
         """
         if window < self.window:
-            self.delivered = max(self.delivered, window)
+            self.delivered_window = max(self.delivered_window, window)
 
     def note(self, customer: str, clock_ms: int) -> None:
         """Record the start of a request.
--- a/wingfall/gateway/peers/duty_exchange.py
+++ b/wingfall/gateway/peers/duty_exchange.py
@@ -85,7 +85,7 @@
         :param at_once: whether to send counts before the interval has passed.
         :yields: session to report to, and the duties field of its heartbeat.
         """
-        state = (self._lease.held, self._counts.delivered)
+        state = (self._lease.held, self._counts.delivered_window)
         reports_to_all = state != self._sent_state and (
             state[0] or self._sent_state[0]
         )
@@ -130,7 +130,7 @@
 
     def _encode(self, entries: list[Any]) -> list[Any]:
         return [
-            self._counts.delivered,
+            self._counts.delivered_window,
             self._lease.held,
             self._true_time.own_ms,
             entries,
