--- a/tests/test_true_time.py
+++ b/tests/test_true_time.py
@@ -42,12 +42,12 @@
 ):
     advance_all(1000, clock, wall)
     wall.advance(jump_ms)
-    assert true_time.look() == jump_ms
+    assert true_time.poll_wall() == jump_ms
     advance_all(1000, clock, wall)
-    assert true_time.look() == jump_ms
+    assert true_time.poll_wall() == jump_ms
     assert true_time.now_ms() == START_MS + 2000
     wall.advance(-jump_ms)
-    assert true_time.look() == 0
+    assert true_time.poll_wall() == 0
 
 
 def test_drift_is_followed(
@@ -56,7 +56,7 @@
     for _second in range(100):
         clock.advance(1000)
         wall.advance(1002)
-        assert true_time.look() == 0
+        assert true_time.poll_wall() == 0
     assert true_time.now_ms() == START_MS + 100_200
 
 
--- a/wingfall/gateway/duties/assembly.py
+++ b/wingfall/gateway/duties/assembly.py
@@ -112,7 +112,7 @@
         :param stop: set when the process is asked to stop.
         """
         while not stop.is_set():
-            self._note_jump(self.true_time.look())
+            self._note_jump(self.true_time.poll_wall())
             for duty in self._duties:
                 duty.step()
             stop.wait(_STEP_MS / MS_PER_S)
--- a/wingfall/gateway/knowledge/true_time.py
+++ b/wingfall/gateway/knowledge/true_time.py
@@ -61,7 +61,7 @@
         offsets_ms = (self._own_offset_ms, *self._other_offsets_ms.values())
         return clock_ms + int(statistics.median(offsets_ms))
 
-    def look(self) -> int:
+    def poll_wall(self) -> int:
         """Poll the wall clock; follow its drift and ignore jumps.
 
         :returns: milliseconds by which the wall clock is off, 0 without a jump.
