--- a/tests/test_true_time.py
+++ b/tests/test_true_time.py
@@ -69,7 +69,7 @@
     started.note_peer('b', START_MS + 3)
     assert started.now_ms() == START_MS + 3
     # Its own time is reported unchanged: medians of medians would drift.
-    assert started.own_ms == START_MS + 2000
+    assert started.own_time_ms == START_MS + 2000
     started.forget('a')
     started.forget('b')
     assert started.now_ms() == START_MS + 2000
--- a/wingfall/gateway/knowledge/true_time.py
+++ b/wingfall/gateway/knowledge/true_time.py
@@ -41,7 +41,7 @@
         self._other_offsets_ms: dict[str, int] = {}
 
     @property
-    def own_ms(self) -> int:
+    def own_time_ms(self) -> int:
         """The own time of day in milliseconds since 1970, without jumps."""
         return self._clock.now_ms() + self._own_offset_ms
 
--- a/wingfall/gateway/peers/duty_exchange.py
+++ b/wingfall/gateway/peers/duty_exchange.py
@@ -132,7 +132,7 @@
         return [
             self._counts.delivered_window,
             self._lease.held,
-            self._true_time.own_ms,
+            self._true_time.own_time_ms,
             entries,
         ]
 
