--- a/tests/test_true_time.py
+++ b/tests/test_true_time.py
@@ -33,7 +33,7 @@
 ):
     advance_all(5000, clock, wall)
     assert true_time.now_ms() == START_MS + 5000
-    assert true_time.at(clock.now_ms() - 1000) == START_MS + 4000
+    assert true_time.time_of_day_at(clock.now_ms() - 1000) == START_MS + 4000
 
 
 @pytest.mark.parametrize('jump_ms', [2000, -2000, 101])
--- a/wingfall/gateway/knowledge/true_time.py
+++ b/wingfall/gateway/knowledge/true_time.py
@@ -50,9 +50,9 @@
 
         :returns: milliseconds since 1970.
         """
-        return self.at(self._clock.now_ms())
+        return self.time_of_day_at(self._clock.now_ms())
 
-    def at(self, clock_ms: int) -> int:
+    def time_of_day_at(self, clock_ms: int) -> int:
         """Convert a time of the steady clock to the time of day.
 
         :param clock_ms: milliseconds of the steady clock.
--- a/wingfall/gateway/knowledge/usage_counts.py
+++ b/wingfall/gateway/knowledge/usage_counts.py
@@ -93,7 +93,7 @@
         :param customer: name of the customer.
         :param clock_ms: start of the request by the steady clock.
         """
-        window = self._true_time.at(clock_ms) // self._window_ms
+        window = self._true_time.time_of_day_at(clock_ms) // self._window_ms
         self.revision += 1
         self._own[window, customer] += 1
         self._changed_at[window, customer] = self.revision
