--- a/tests/test_true_time.py
+++ b/tests/test_true_time.py
@@ -70,6 +70,6 @@
     assert started.now_ms() == START_MS + 3
     # Its own time is reported unchanged: medians of medians would drift.
     assert started.own_time_ms == START_MS + 2000
-    started.forget('a')
-    started.forget('b')
+    started.remove_peer('a')
+    started.remove_peer('b')
     assert started.now_ms() == START_MS + 2000
--- a/wingfall/gateway/knowledge/true_time.py
+++ b/wingfall/gateway/knowledge/true_time.py
@@ -81,7 +81,7 @@
         """
         self._other_offsets_ms[name] = reported_ms - self._clock.now_ms()
 
-    def forget(self, name: str) -> None:
+    def remove_peer(self, name: str) -> None:
         """Remove the time of a peer.
 
         :param name: name of the peer.
--- a/wingfall/gateway/peers/duty_exchange.py
+++ b/wingfall/gateway/peers/duty_exchange.py
@@ -126,7 +126,7 @@
 
         :param session: session that ended.
         """
-        self._true_time.forget(session.name)
+        self._true_time.remove_peer(session.name)
 
     def _encode(self, entries: list[Any]) -> list[Any]:
         return [
