--- a/wingfall/gateway/calls/admission.py
+++ b/wingfall/gateway/calls/admission.py
@@ -112,7 +112,7 @@
     if not capacity.in_time:
         return Failure(
             _refuse(
-                state, call, estimate(capacity.soonest, relative_use), capacity
+                state, call, estimate(capacity.earliest, relative_use), capacity
             )
         )
     # The customer's share decides about admission, not about the engine: the
@@ -133,13 +133,13 @@
     estimate: StartEstimate,
     capacity: PoolRoom,
 ) -> Refusal:
-    pool = capacity.soonest.endpoint.pool
+    pool = capacity.earliest.endpoint.pool
     reason = tell_reason(estimate)
     _count_decision(state, reason)
     shares = state.fair_shares.find(pool)
     _log_refusal(
         call,
-        capacity.soonest,
+        capacity.earliest,
         estimate,
         pool=pool,
         reason=reason,
--- a/wingfall/gateway/calls/pool_room.py
+++ b/wingfall/gateway/calls/pool_room.py
@@ -59,7 +59,7 @@
         return len(self.in_time) + len(self.late)
 
     @property
-    def soonest(self) -> Destination:
+    def earliest(self) -> Destination:
         """The destination with the earliest start."""
         return min((*self.in_time, *self.late), key=_start_ms)
 
