--- a/wingfall/gateway/calls/admission.py
+++ b/wingfall/gateway/calls/admission.py
@@ -147,7 +147,7 @@
         margin=round(estimate.margin, 2),
         share_age_ms=state.clock.now_ms() - shares.worked_out_ms,
         estimate_age_ms=state.knowledge.first_event_age_ms(pool),
-        engines=capacity.engines,
+        engines=capacity.engine_count,
     )
     retry_ms = state.policies.admission(estimate).swap().value_or(0)
     draw = random.random()  # noqa: S311
--- a/wingfall/gateway/calls/pool_room.py
+++ b/wingfall/gateway/calls/pool_room.py
@@ -54,7 +54,7 @@
         self.late = late
 
     @property
-    def engines(self) -> int:
+    def engine_count(self) -> int:
         """Number of engines that accept prompts."""
         return len(self.in_time) + len(self.late)
 
