--- a/wingfall/gateway/calls/attempt.py
+++ b/wingfall/gateway/calls/attempt.py
@@ -145,7 +145,7 @@
             last_event_id=last_event_id or self._call.head.last_event_id,
             source=self._destination.source,
             backup=self._destination.backup,
-            continues=self._destination.continues,
+            continues=self._destination.is_continuation,
         )
 
     def _read_response(
--- a/wingfall/gateway/calls/attempt_log.py
+++ b/wingfall/gateway/calls/attempt_log.py
@@ -69,7 +69,7 @@
         start_ms=int(estimate_ms),
         source=source.name if source else None,
         backup=backup.name if backup else None,
-        continues=destination.continues,
+        continues=destination.is_continuation,
         **_describe_performance(destination.candidate),
     )
 
--- a/wingfall/gateway/calls/attempt_tracker.py
+++ b/wingfall/gateway/calls/attempt_tracker.py
@@ -172,7 +172,7 @@
 
     def _note_prompt(self) -> None:
         prompt, destination = self._call.head.prompt, self._destination
-        if prompt is None or destination.continues:
+        if prompt is None or destination.is_continuation:
             return
         name = destination.endpoint.name
         uncached_tokens = destination.load.reading_tokens
@@ -189,7 +189,7 @@
 
     def _update_start_estimates(self) -> None:
         destination = self._destination
-        if self._call.head.prompt is None or destination.continues:
+        if self._call.head.prompt is None or destination.is_continuation:
             return
         self._state.knowledge.note_first_event(destination.endpoint.pool)
         self._state.knowledge.start_estimates.note(
--- a/wingfall/gateway/calls/destination.py
+++ b/wingfall/gateway/calls/destination.py
@@ -41,7 +41,7 @@
     __slots__ = (
         'backup',
         'candidate',
-        'continues',
+        'is_continuation',
         'endpoint',
         'load',
         'source',
@@ -55,7 +55,7 @@
         load: EndpointLoad,
         source: PoolEndpoint | None = None,
         backup: PoolEndpoint | None = None,
-        continues: bool = False,
+        is_continuation: bool = False,
     ) -> None:
         """Create a destination.
 
@@ -64,14 +64,14 @@
         :param load: the load that the call adds to the endpoint.
         :param source: the engine to copy cached prompt parts from.
         :param backup: the engine that keeps a copy of the run.
-        :param continues: whether the endpoint already holds such a copy.
+        :param is_continuation: whether the endpoint already holds such a copy.
         """
         self.endpoint = endpoint
         self.candidate = candidate
         self.load = load
         self.source = source
         self.backup = backup
-        self.continues = continues
+        self.is_continuation = is_continuation
 
     @property
     def start_ms(self) -> float:
--- a/wingfall/gateway/calls/dispatcher.py
+++ b/wingfall/gateway/calls/dispatcher.py
@@ -174,7 +174,7 @@
 
     def _await_shared_prefill(self, destination: Destination) -> Destination:
         # A call waits once; the earlier choice is outdated after the wait.
-        if self._has_waited or destination.continues:
+        if self._has_waited or destination.is_continuation:
             return destination
         self._has_waited = await_shared_read(
             self._state, self._call, destination
--- a/wingfall/gateway/calls/stream_continuation.py
+++ b/wingfall/gateway/calls/stream_continuation.py
@@ -85,5 +85,5 @@
         endpoint=listed,
         candidate=candidate,
         load=added_load(call.head.prompt, demand, candidate),
-        continues=True,
+        is_continuation=True,
     )
