--- a/wingfall/gateway/callers/caller_connection.py
+++ b/wingfall/gateway/callers/caller_connection.py
@@ -128,7 +128,7 @@
             return
         if is_readable(self._socket):
             return
-        self._reader.shut = True
+        self._reader.is_shut_down = True
         try:
             # Wakes the greenlet that is blocked in a read.
             self._socket.shutdown(socket.SHUT_RDWR)
--- a/wingfall/gateway/callers/request_reader.py
+++ b/wingfall/gateway/callers/request_reader.py
@@ -42,7 +42,7 @@
         '_socket',
         '_write',
         'has_received',
-        'shut',
+        'is_shut_down',
     )
 
     def __init__(
@@ -71,7 +71,7 @@
         self.has_received = False
         # Whether the gateway has shut the socket down; what is read from then
         # on is no request.
-        self.shut = False
+        self.is_shut_down = False
 
     def start_next(self) -> None:
         """Reset the protocol state for the next request."""
@@ -87,7 +87,7 @@
         started_ms = self._clock.now_ms()
         while True:
             event = self._http.next_event()
-            if self.shut:
+            if self.is_shut_down:
                 return None
             if isinstance(event, h11.Request):
                 return event
