--- a/wingfall/gateway/callers/caller_connection.py
+++ b/wingfall/gateway/callers/caller_connection.py
@@ -102,7 +102,7 @@
         """Serve requests until either side closes the connection."""
         try:
             while self._serve_next():
-                self._reader.start_next()
+                self._reader.prepare_next_request()
         except (CallerGoneError, ReplyCutError):
             self._closing = True
         except h11.RemoteProtocolError as error:
--- a/wingfall/gateway/callers/request_reader.py
+++ b/wingfall/gateway/callers/request_reader.py
@@ -73,7 +73,7 @@
         # on is no request.
         self.is_shut_down = False
 
-    def start_next(self) -> None:
+    def prepare_next_request(self) -> None:
         """Reset the protocol state for the next request."""
         self._http.start_next_cycle()
         self.has_received = bool(self._http.trailing_data[0])
