--- a/wingfall/gateway/callers/caller_connection.py
+++ b/wingfall/gateway/callers/caller_connection.py
@@ -70,7 +70,7 @@
         '_reader',
         '_socket',
         '_state',
-        'busy',
+        'is_busy',
     )
 
     def __init__(self, *, sock: socket.socket, state: GatewayState) -> None:
@@ -96,7 +96,7 @@
         self._closing = False
         # When the connection was opened or its last request ended.
         self._idle_since_ms = state.clock.now_ms()
-        self.busy = False
+        self.is_busy = False
 
     def run(self) -> None:
         """Serve requests until either side closes the connection."""
@@ -110,7 +110,7 @@
         except (RequestLateError, OSError):
             self._closing = True
         finally:
-            self.busy = False
+            self.is_busy = False
             self._socket.close()
 
     def close_idle(self) -> None:
@@ -121,7 +121,7 @@
         self._closing = True
         age_ms = self._state.clock.now_ms() - self._idle_since_ms
         if (
-            self.busy
+            self.is_busy
             or self._reader.has_received
             or age_ms < _FIRST_REQUEST_GRACE_MS
         ):
@@ -144,7 +144,7 @@
         if request is None:
             return False
         arrived_ms = self._state.clock.now_ms()
-        self.busy = True
+        self.is_busy = True
         head = self._state.binding.read_call(
             request.method,
             request.target,
@@ -161,7 +161,7 @@
             send_refusal(self._state, self._make_reply(), head, refusal)
             return False
         self._respond(head, body, arrived_ms)
-        self.busy = False
+        self.is_busy = False
         self._idle_since_ms = self._state.clock.now_ms()
         return self._is_reusable()
 
--- a/wingfall/gateway/callers/caller_server.py
+++ b/wingfall/gateway/callers/caller_server.py
@@ -59,7 +59,7 @@
     @property
     def calls(self) -> int:
         """Number of calls in progress."""
-        return sum(connection.busy for connection in self._connections)
+        return sum(connection.is_busy for connection in self._connections)
 
     @property
     def is_empty(self) -> bool:
