--- a/tests/test_caller_connection.py
+++ b/tests/test_caller_connection.py
@@ -71,7 +71,7 @@
     clock: ManualClock,
 ):
     clock.advance(IDLE_MS)
-    connection.close_idle()
+    connection.close_if_idle()
     connection.run()
     assert sockets[0].recv(1) == b''
 
@@ -84,7 +84,7 @@
     clock.advance(IDLE_MS)
     serving = gevent.spawn(connection.run)
     gevent.sleep(0)
-    connection.close_idle()
+    connection.close_if_idle()
     # Far below the idle timeout, which would end the connection as well.
     serving.join(timeout=10)
     assert serving.dead
@@ -97,7 +97,7 @@
 ):
     clock.advance(IDLE_MS)
     sockets[0].sendall(REQUEST)
-    connection.close_idle()
+    connection.close_if_idle()
     connection.run()
     assert b' 503 ' in sockets[0].recv(1000)
 
@@ -106,7 +106,7 @@
     sockets: tuple[socket.socket, socket.socket],
     connection: CallerConnection,
 ):
-    connection.close_idle()
+    connection.close_if_idle()
     sockets[0].sendall(REQUEST)
     connection.run()
     assert b' 503 ' in sockets[0].recv(1000)
--- a/wingfall/gateway/callers/caller_connection.py
+++ b/wingfall/gateway/callers/caller_connection.py
@@ -113,7 +113,7 @@
             self.is_busy = False
             self._socket.close()
 
-    def close_idle(self) -> None:
+    def close_if_idle(self) -> None:
         """Close the connection if no request is in progress or arriving.
 
         A new connection is given time to send its first request.
--- a/wingfall/gateway/callers/caller_server.py
+++ b/wingfall/gateway/callers/caller_server.py
@@ -77,7 +77,7 @@
     def close_idle(self) -> None:
         """Close the connections without a request in progress."""
         for connection in list(self._connections):
-            connection.close_idle()
+            connection.close_if_idle()
 
     def stop(self) -> None:
         """Terminate all connections immediately."""
