--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -204,7 +204,7 @@
         gevent.sleep(schedule.serve_ms / MS_PER_S)
         self._callers.stop_accepting()
         while not self._callers.is_empty and self._clock.now_ms() < deadline_ms:
-            self._callers.close_idle()
+            self._callers.close_idle_connections()
             gevent.sleep(_POLL_MS / MS_PER_S)
         self._peers.tell_last_counts()
         log_event('gateway', 'Stopped.', calls=self._callers.calls)
--- a/wingfall/gateway/callers/caller_server.py
+++ b/wingfall/gateway/callers/caller_server.py
@@ -74,7 +74,7 @@
         """Stop accepting connections; open connections continue."""
         self._server.close()
 
-    def close_idle(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close the connections without a request in progress."""
         for connection in list(self._connections):
             connection.close_if_idle()
