--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -196,7 +196,7 @@
 
     def drain(self) -> None:
         """Take no new work, and wait until what there is has ended."""
-        log_event('gateway', 'Stopping.', calls=self._callers.calls)
+        log_event('gateway', 'Stopping.', calls=self._callers.active_calls)
         self._state.draining = True
         self._peers.leave()
         schedule = StopSchedule(stop_s=self._settings.limits.stop_s)
@@ -207,7 +207,7 @@
             self._callers.close_idle_connections()
             gevent.sleep(_POLL_MS / MS_PER_S)
         self._peers.tell_last_counts()
-        log_event('gateway', 'Stopped.', calls=self._callers.calls)
+        log_event('gateway', 'Stopped.', calls=self._callers.active_calls)
 
     def close(self) -> None:
         """End everything now."""
@@ -238,7 +238,7 @@
             name=self._settings.name,
             state=self._state,
             peers=self._peers.names,
-            calls=self._callers.calls,
+            calls=self._callers.active_calls,
             duties=self._duties.status() if self._duties else None,
         )
 
--- a/wingfall/gateway/callers/caller_server.py
+++ b/wingfall/gateway/callers/caller_server.py
@@ -57,7 +57,7 @@
         return int(self._server.socket.getsockname()[1])
 
     @property
-    def calls(self) -> int:
+    def active_calls(self) -> int:
         """Number of calls in progress."""
         return sum(connection.is_busy for connection in self._connections)
 
