--- a/tests/gateway_site.py
+++ b/tests/gateway_site.py
@@ -86,7 +86,7 @@
             answer.whole = False
         return answer
 
-    def closed(self) -> bool:
+    def wait_closed(self) -> bool:
         """Wait until the gateway closes the connection or sends data.
 
         :returns: whether the gateway closed without sending data.
--- a/tests/test_gateway_requests.py
+++ b/tests/test_gateway_requests.py
@@ -339,7 +339,7 @@
     gevent.sleep(2.5)
     late.send('/safe/x', X_Attempt_Id='r2')
     assert late.receive().status == 200
-    assert idle.closed()
+    assert idle.wait_closed()
     stopping.join()
 
 
