--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -289,7 +289,7 @@
 
 def put_entry(site: GatewaySite, pool: str, name: str, born_ms: int) -> None:
     """Write an entry with a start time to the store."""
-    site.store.put('servers', name, site.entry(name, pool, born=born_ms))
+    site.store.put('servers', name, site.make_entry(name, pool, born=born_ms))
 
 
 def restart(site: GatewaySite, name: str) -> PoolServerStandIn:
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -118,7 +118,7 @@
     case: str,
 ):
     gateway_site.add_server('one')
-    entry = changed(gateway_site.entry('one', 'plain'), **SPECS[case])
+    entry = changed(gateway_site.make_entry('one', 'plain'), **SPECS[case])
     gateway_site.store.put('servers', 'bad', entry)
     gateway = gateway_site.add_gateway()
     assert listed(gateway) == ['one']
@@ -135,7 +135,7 @@
     gateway_site.add_server('two')
     gateway_site.add_server('three')
     gateway = gateway_site.add_gateway()
-    entry = gateway_site.entry('two', 'plain')
+    entry = gateway_site.make_entry('two', 'plain')
     gateway_site.store.put('servers', 'two', changed(entry, **SPECS[case]))
     wait_until(lambda: listed(gateway) == ['one', 'three'])
     gateway_site.store.put('servers', 'two', entry)
@@ -164,7 +164,7 @@
     gateway_site.add_server('one')
     gateway_site.add_server('bad')
     gateway_site.add_server('three')
-    entry = gateway_site.entry('bad', 'plain')
+    entry = gateway_site.make_entry('bad', 'plain')
     raw = with_metadata(entry, **ENVELOPES[case])
     gateway_site.store.put_raw('servers', 'bad', raw)
     gateway = gateway_site.add_gateway()
@@ -181,7 +181,7 @@
     gateway_site.add_server('one')
     gateway_site.add_server('two')
     gateway = gateway_site.add_gateway()
-    entry = gateway_site.entry('two', 'plain')
+    entry = gateway_site.make_entry('two', 'plain')
     raw = with_metadata(changed(entry, slots=0), name='two', revision=2**50)
     gateway_site.store.put_raw('servers', 'two', raw)
     wait_until(lambda: listed(gateway) == ['one'])
@@ -217,7 +217,7 @@
 ):
     gateway_site.store.replaced[MARK.encode()] = garbled
     gateway_site.add_server('one')
-    entry = gateway_site.entry('one', 'plain')
+    entry = gateway_site.make_entry('one', 'plain')
     gateway_site.store.put('servers', 'bad', changed(entry, state=MARK))
     gateway = gateway_site.add_gateway()
     assert listed(gateway) == ['one']
@@ -246,7 +246,7 @@
     sound = [f'sound-{number}' for number in range(7)]
     for name in sound:
         gateway_site.add_server(name)
-    entry = gateway_site.entry('sound-0', 'plain')
+    entry = gateway_site.make_entry('sound-0', 'plain')
     gateway_site.store.put('servers', 'bad-1', None)
     gateway_site.store.put('servers', 'bad-2', changed(entry, slots='64'))
     gateway_site.store.put_raw('servers', 'bad-3', {'metadata': 'none'})
@@ -264,7 +264,7 @@
     sound = [f'sound-{number}' for number in range(7)]
     for name in sound:
         gateway_site.add_server(name)
-    entry = gateway_site.entry('sound-0', 'plain')
+    entry = gateway_site.make_entry('sound-0', 'plain')
     gateway_site.store.put('servers', 'bad-1', None)
     gateway_site.store.put('servers', 'bad-2', changed(entry, slots='64'))
     gateway_site.store.put_raw('servers', 'bad-3', {'metadata': 'none'})
@@ -286,7 +286,7 @@
     second = gateway_site.add_gateway(
         store={'address': f'{HOST}:1', 'watch_ms': 500},
     )
-    entry = gateway_site.entry('two', 'plain')
+    entry = gateway_site.make_entry('two', 'plain')
     gateway_site.store.put('servers', 'two', changed(entry, state='odd'))
     wait_until(lambda: listed(second) == ['one', 'three'])
     gateway_site.store.put('servers', 'two', entry)
@@ -301,7 +301,7 @@
     gateway_site.add_server('one')
     gateway = gateway_site.add_gateway()
     with refusals() as lines:
-        entry = gateway_site.entry('one', 'plain')
+        entry = gateway_site.make_entry('one', 'plain')
         gateway_site.store.put('servers', 'bad', changed(entry, slots=0))
         wait_until(lambda: len(lines) == 1)
         # A list reads all entries once more.
@@ -318,7 +318,7 @@
 
 def test_entry_without_a_revision_is_told_once(gateway_site: GatewaySite):
     gateway_site.add_server('one')
-    raw = with_metadata(gateway_site.entry('one', 'plain'), revision=None)
+    raw = with_metadata(gateway_site.make_entry('one', 'plain'), revision=None)
     gateway = gateway_site.add_gateway()
     with refusals() as lines:
         gateway_site.store.put_raw('servers', 'bad', raw)
@@ -332,7 +332,7 @@
 
 def test_refused_entries_are_counted_by_their_field(gateway_site: GatewaySite):
     gateway_site.add_server('one')
-    entry = gateway_site.entry('one', 'plain')
+    entry = gateway_site.make_entry('one', 'plain')
     gateway_site.store.put('servers', 'bad', changed(entry, state='odd'))
     gateway_site.store.put('servers', 'none', 'text')
     gateway = gateway_site.add_gateway()
