--- a/tests/gateway_site.py
+++ b/tests/gateway_site.py
@@ -162,10 +162,10 @@
         """
         server = PoolServerStandIn(name=name)
         self.servers[name] = server
-        self.list_server(name, pool)
+        self.put_server(name, pool)
         return server
 
-    def list_server(self, name: str, pool: str, state: str = 'ready') -> None:
+    def put_server(self, name: str, pool: str, state: str = 'ready') -> None:
         """Write an endpoint's entry to the store.
 
         :param name: endpoint id.
--- a/tests/test_gateway_config.py
+++ b/tests/test_gateway_config.py
@@ -132,7 +132,7 @@
     )
     gateway_site.config['tenants'] = [{'name': 'other', 'api_keys': ['k']}]
     gateway_site.write_config()
-    gateway_site.list_server('one', 'plain', state='draining')
+    gateway_site.put_server('one', 'plain', state='draining')
     gateway_site.add_server('two')
     version = gateway_site.config['version']
     wait_until(lambda: first.status()['config'] == version)
--- a/tests/test_gateway_requests.py
+++ b/tests/test_gateway_requests.py
@@ -289,7 +289,7 @@
 
 
 def test_draining_endpoint_gets_no_new_request(plain_site: GatewaySite):
-    plain_site.list_server('one', 'plain', state='draining')
+    plain_site.put_server('one', 'plain', state='draining')
     table = known_endpoints(plain_site.gateways[0])
     wait_until(lambda: len(table.usable('plain')) == 1)
     for number in range(4):
--- a/tests/test_sending_gate.py
+++ b/tests/test_sending_gate.py
@@ -231,7 +231,7 @@
         assert caller.receive().status == 200
     wait_until(lambda: second.status()['leaving_endpoints'] == ['plain-0'])
     # The endpoint stays excluded if its entry expires and is written again.
-    site.list_server('plain-0', 'plain')
+    site.put_server('plain-0', 'plain')
     arrivals_before = len(leaving.signals.arrivals)
     caller = CallerStandIn(port=second.caller_port)
     for number in range(6):
