--- a/tests/gateway_site.py
+++ b/tests/gateway_site.py
@@ -227,7 +227,7 @@
             'callers': f'{HOST}:0',
             'readiness': f'{HOST}:0',
             'admin': {'host': HOST, 'port': 0},
-            'peers': {'listen': f'{HOST}:0', 'seeds': self.seeds()},
+            'peers': {'listen': f'{HOST}:0', 'seeds': self.list_seeds()},
             'store': {
                 'address': f'{HOST}:{self._store_server.port}',
                 'watch_ms': 500,
@@ -245,7 +245,7 @@
         assert isinstance(parsed, Success), list(map(str, parsed.failure()))
         return parsed.unwrap()
 
-    def seeds(self) -> list[str]:
+    def list_seeds(self) -> list[str]:
         """List the peer addresses of the started gateways.
 
         :returns: a ``host:port`` per gateway.
