--- a/tests/gateway_site.py
+++ b/tests/gateway_site.py
@@ -252,7 +252,7 @@
         """
         return [gateway.peer_address for gateway in self.gateways]
 
-    def caller(self, number: int = 0) -> CallerStandIn:
+    def connect_caller(self, number: int = 0) -> CallerStandIn:
         """Connect a caller to a gateway.
 
         :param number: index of the gateway.
@@ -267,7 +267,7 @@
         :param options: see :meth:`CallerStandIn.send`.
         :returns: the response.
         """
-        caller = self.caller()
+        caller = self.connect_caller()
         caller.send(target, **options)
         answer = caller.receive()
         caller.close()
--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -340,7 +340,7 @@
     """
     for engine in site.servers.values():
         engine.faults = ['cut']
-    caller = site.caller()
+    caller = site.connect_caller()
     caller.send(
         '/oneway/x',
         method='POST',
@@ -392,7 +392,7 @@
     server.faults = ['reset']
     put_entry(gateway_site, 'plain', 'one', FIRST_MS)
     gateway = gateway_site.add_gateway()
-    caller = gateway_site.caller()
+    caller = gateway_site.connect_caller()
     caller.send('/unsafe/x', method='POST', body=b'1')
     wait_until(lambda: gateway_site.servers['one'].runs)
     again = restart(gateway_site, 'one')
--- a/tests/test_gateway_requests.py
+++ b/tests/test_gateway_requests.py
@@ -76,7 +76,7 @@
 
 
 def test_chunked_body_reaches_the_endpoint_whole(plain_site: GatewaySite):
-    caller = plain_site.caller()
+    caller = plain_site.connect_caller()
     caller.sock.sendall(
         b'POST /unsafe/x HTTP/1.1\r\nHost: site.example\r\n'
         b'Authorization: Token key-of-oslo\r\nX-Attempt-Id: r1\r\n'
@@ -190,7 +190,7 @@
 def test_caller_that_leaves_ends_the_work(plain_site: GatewaySite):
     for server in plain_site.servers.values():
         server.delay_ms = 60_000
-    caller = plain_site.caller()
+    caller = plain_site.connect_caller()
     caller.send('/patient/x', method='POST')
     wait_until(lambda: all_run_ids(plain_site))
     caller.close()
@@ -231,7 +231,7 @@
 
 
 def test_head_over_the_limit_is_refused(plain_site: GatewaySite):
-    caller = plain_site.caller()
+    caller = plain_site.connect_caller()
     caller.sock.sendall(b'GET /safe/x HTTP/1.1\r\nX: %s' % (b'x' * 20_000))
     assert b' 431 ' in caller.sock.recv(100)
     assert plain_site.ask('/safe/x').status == 200
@@ -242,7 +242,7 @@
     plain_site: GatewaySite,
     garbage: bytes,
 ):
-    caller = plain_site.caller()
+    caller = plain_site.connect_caller()
     caller.sock.sendall(b'%s\r\n\r\n' % garbage)
     caller.sock.recv(1000)
     gateway = plain_site.gateways[0]
@@ -254,7 +254,7 @@
 
 
 def test_connection_is_kept_for_the_next_request(plain_site: GatewaySite):
-    caller = plain_site.caller()
+    caller = plain_site.connect_caller()
     for number in range(3):
         caller.send('/safe/x', X_Attempt_Id=f'r{number}')
         assert f' r{number} '.encode() in caller.receive().body
@@ -300,7 +300,7 @@
 def test_planned_stop_finishes_what_runs(plain_site: GatewaySite):
     for server in plain_site.servers.values():
         server.delay_ms = 400
-    reused, fresh = plain_site.caller(), plain_site.caller()
+    reused, fresh = plain_site.connect_caller(), plain_site.connect_caller()
     reused.send('/safe/x', X_Attempt_Id='r1')
     wait_until(lambda: all_run_ids(plain_site))
     gateway = plain_site.gateways[0]
@@ -318,7 +318,7 @@
 def test_planned_stop_waits_for_a_long_run(plain_site: GatewaySite):
     for server in plain_site.servers.values():
         server.delay_ms = 3500
-    caller = plain_site.caller()
+    caller = plain_site.connect_caller()
     caller.send('/patient/x', method='POST')
     wait_until(lambda: all_run_ids(plain_site))
     gateway = plain_site.gateways[0]
@@ -331,7 +331,7 @@
     plain_site: GatewaySite,
 ):
     gateway = plain_site.gateways[0]
-    idle, late = plain_site.caller(), plain_site.caller()
+    idle, late = plain_site.connect_caller(), plain_site.connect_caller()
     for caller in (idle, late):
         caller.send('/safe/x')
         caller.receive()
