--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -130,10 +130,10 @@
     endpoint = endpoint_at(listener)
     other = endpoint_at(listener, name='e2')
     listener.close()
-    watch.note_left(endpoint, b'long ago')
+    watch.note_abandoned(endpoint, b'long ago')
     clock.advance(2001)
-    watch.note_left(endpoint, b'left')
-    watch.note_left(other, b'elsewhere')
+    watch.note_abandoned(endpoint, b'left')
+    watch.note_abandoned(other, b'elsewhere')
     watch.note_broken(endpoint, b'r', None)
     wait_until(lambda: knowledge.crashes.crashes)
     (crash,) = knowledge.crashes.crashes
--- a/wingfall/gateway/endpoints/crash_watch.py
+++ b/wingfall/gateway/endpoints/crash_watch.py
@@ -112,7 +112,7 @@
         elif output_ms < _MAX_SUSPECT_OUTPUT_MS:
             broken.streaming.add(fingerprint)
 
-    def note_left(
+    def note_abandoned(
         self,
         endpoint: PoolEndpoint,
         fingerprint: Fingerprint,
