--- a/tests/test_gateway_load.py
+++ b/tests/test_gateway_load.py
@@ -229,9 +229,9 @@
 def test_events_are_cut_at_their_ends():
     splitter = EventSplitter()
     assert splitter.feed(b'id: 1\nda') == b''
-    assert splitter.torn
+    assert splitter.has_partial_event
     assert splitter.feed(b'ta: x\n\nid: 2') == b'id: 1\ndata: x\n\n'
     assert splitter.last_event_id == '1'
     assert splitter.feed(b'\ndata: y\n\n') == b'id: 2\ndata: y\n\n'
-    assert not splitter.torn
+    assert not splitter.has_partial_event
     assert splitter.last_event_id == '2'
--- a/wingfall/gateway/calls/attempt.py
+++ b/wingfall/gateway/calls/attempt.py
@@ -214,7 +214,7 @@
             events = splitter.feed(bytes(event.data))
             if events:
                 self._forward_events(response, events, splitter.last_event_id)
-        if splitter.torn or not self._reply.started:
+        if splitter.has_partial_event or not self._reply.started:
             raise AnswerBrokenError('the stream ended inside an event')
         self._release_connection()
         return AttemptOutcome(end=AttemptEnd.answered, reason='stream')
--- a/wingfall/gateway/endpoints/event_stream.py
+++ b/wingfall/gateway/endpoints/event_stream.py
@@ -27,7 +27,7 @@
         self.last_event_id = last_event_id
 
     @property
-    def torn(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether the buffer contains part of an event."""
         return bool(self._buffer)
 
