--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -243,10 +243,10 @@
     kept = KeptConnections(clock=clock, gate=gate)
     first = started(FIRST_MS, address=server.address)
     again = started(LATER_MS, address=server.address)
-    connection = kept.take(first, timeout_ms=1000, allow_reuse=True)
+    connection = kept.acquire(first, timeout_ms=1000, allow_reuse=True)
     kept._idle[first.name] = [connection]
-    assert kept.take(again, timeout_ms=1000, allow_reuse=True) is not connection
-    assert kept.take(first, timeout_ms=1000, allow_reuse=True) is connection
+    assert kept.acquire(again, timeout_ms=1000, allow_reuse=True) is not connection
+    assert kept.acquire(first, timeout_ms=1000, allow_reuse=True) is connection
     kept._idle[first.name] = [connection]
     kept.forget({again.name})
     assert not kept._idle.get(first.name)
--- a/tests/test_sending_gate.py
+++ b/tests/test_sending_gate.py
@@ -110,7 +110,7 @@
         draining=False,
     )
     with pytest.raises(HeldError, match=Held.limited):
-        connections.take(endpoint, timeout_ms=100, allow_reuse=False)
+        connections.acquire(endpoint, timeout_ms=100, allow_reuse=False)
 
 
 def test_pool_with_a_limit_refuses_at_once_and_says_when(site: GatewaySite):
--- a/wingfall/gateway/calls/attempt.py
+++ b/wingfall/gateway/calls/attempt.py
@@ -121,7 +121,7 @@
 
     def _exchange(self, limits: AttemptLimits) -> AttemptOutcome:
         call = self._call
-        connection = self._connections.take(
+        connection = self._connections.acquire(
             self._destination.endpoint,
             timeout_ms=limits.first_byte_ms - self._now_ms(),
             allow_reuse=call.idempotent,
--- a/wingfall/gateway/endpoints/kept_connections.py
+++ b/wingfall/gateway/endpoints/kept_connections.py
@@ -35,7 +35,7 @@
         self._gate = gate
         self._idle: dict[str, list[EndpointConnection]] = {}
 
-    def take(
+    def acquire(
         self,
         endpoint: PoolEndpoint,
         *,
--- a/wingfall/gateway/peers/caches/memory_survey.py
+++ b/wingfall/gateway/peers/caches/memory_survey.py
@@ -152,7 +152,7 @@
         connections = self._connections
         connection = None
         try:
-            connection = connections.take(
+            connection = connections.acquire(
                 engine,
                 timeout_ms=_ANSWER_TIMEOUT_MS,
                 allow_reuse=False,
