--- a/wingfall/gateway/calls/attempt.py
+++ b/wingfall/gateway/calls/attempt.py
@@ -246,7 +246,7 @@
         connection = self._connection
         self._connection = None
         if connection is not None:
-            self._connections.give_back(self._destination.endpoint, connection)
+            self._connections.release(self._destination.endpoint, connection)
 
     def _note_keep_alive(self, headers: Headers) -> None:
         for name, text in headers:
--- a/wingfall/gateway/endpoints/kept_connections.py
+++ b/wingfall/gateway/endpoints/kept_connections.py
@@ -66,7 +66,7 @@
             raise HeldError(withheld)
         return connection
 
-    def give_back(
+    def release(
         self,
         endpoint: PoolEndpoint,
         connection: EndpointConnection,
--- a/wingfall/gateway/peers/caches/memory_survey.py
+++ b/wingfall/gateway/peers/caches/memory_survey.py
@@ -162,7 +162,7 @@
             if connection is not None:
                 connection.close()
             return Failure(f'{type(error).__name__} {error}')
-        connections.give_back(engine, connection)
+        connections.release(engine, connection)
         return answer
 
     def _send_request(
