--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -248,7 +248,7 @@
     assert kept.acquire(again, timeout_ms=1000, allow_reuse=True) is not connection
     assert kept.acquire(first, timeout_ms=1000, allow_reuse=True) is connection
     kept._idle[first.name] = [connection]
-    kept.forget({again.name})
+    kept.retain_only({again.name})
     assert not kept._idle.get(first.name)
     server.stop()
 
--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -286,5 +286,5 @@
             self._state.knowledge.forget_departed()
             set_start_errors(self._metrics, self._state.knowledge.start_estimates)
             names = self._state.knowledge.table.names
-            self._state.connections.forget(names)
+            self._state.connections.retain_only(names)
             self._state.gate.forget(names)
--- a/wingfall/gateway/endpoints/kept_connections.py
+++ b/wingfall/gateway/endpoints/kept_connections.py
@@ -81,7 +81,7 @@
         else:
             connection.close()
 
-    def forget(self, listed: set[str]) -> None:
+    def retain_only(self, listed: set[str]) -> None:
         """Close expired connections and those to unlisted endpoints.
 
         :param listed: names of the listed endpoints.
