--- a/tests/rate_world.py
+++ b/tests/rate_world.py
@@ -181,7 +181,7 @@
     def _send_call(self, gateway: SimulatedGateway, now_ms: int) -> None:
         if self.rng.random() >= self._demand * STEP_MS / 1000:
             return
-        if gateway.gate.take(ENDPOINT) is not None:
+        if gateway.gate.acquire(ENDPOINT) is not None:
             return
         limit_known_ms = gateway.limit_known_ms
         counts = (
--- a/tests/test_sending_gate.py
+++ b/tests/test_sending_gate.py
@@ -53,7 +53,7 @@
 
 
 def test_endpoint_that_said_nothing_takes_all(gate: SendingGate):
-    assert not any(gate.take(ENDPOINT) for _call in range(9))
+    assert not any(gate.acquire(ENDPOINT) for _call in range(9))
 
 
 def test_limit_of_zero_still_lets_one_ask_now_and_then(
@@ -63,7 +63,7 @@
     sent = 0
     for _second in range(100):
         clock.advance(1000)
-        sent += gate.take(ENDPOINT) is None
+        sent += gate.acquire(ENDPOINT) is None
     assert 5 <= sent <= 10
 
 
@@ -151,7 +151,7 @@
     signals.note_answer(ENDPOINT, AnswerSignals(rest_ms=2500), 900)
     sent_ms = []
     for at_ms in range(5000):
-        if gate.take(ENDPOINT) is None:
+        if gate.acquire(ENDPOINT) is None:
             sent_ms.append(at_ms)
         clock.advance(1)
     assert 2500 <= sent_ms[0] <= 2750
@@ -182,9 +182,9 @@
     signals.note_answer(ENDPOINT, AnswerSignals(rest_ms=year_ms), 900)
     clock.advance(year_ms - 1)
     signals.remove_expired({ENDPOINT})
-    assert gate.take(ENDPOINT) is Held.resting
+    assert gate.acquire(ENDPOINT) is Held.resting
     clock.advance(251)
-    assert gate.take(ENDPOINT) is None
+    assert gate.acquire(ENDPOINT) is None
 
 
 def test_whole_pool_at_rest_is_told_at_once(site: GatewaySite):
--- a/wingfall/gateway/endpoints/kept_connections.py
+++ b/wingfall/gateway/endpoints/kept_connections.py
@@ -60,7 +60,7 @@
             endpoint, timeout_ms, allow_reuse=allow_reuse
         )
         # A signal of the endpoint may have arrived during the connect.
-        withheld = self._gate.take(endpoint.name)
+        withheld = self._gate.acquire(endpoint.name)
         if withheld is not None:
             connection.close()
             raise HeldError(withheld)
--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -140,7 +140,7 @@
             return Held.limited
         return None
 
-    def take(self, endpoint: str) -> Held | None:
+    def acquire(self, endpoint: str) -> Held | None:
         """Count a request that is about to be sent.
 
         :param endpoint: name of the endpoint.
