--- a/wingfall/gateway/calls/held_pool.py
+++ b/wingfall/gateway/calls/held_pool.py
@@ -94,7 +94,7 @@
     """
     usable = state.knowledge.table.usable(pool)
     return bool(usable) and all(
-        state.gate.is_held(each.name, exclude_limited=False) for each in usable
+        state.gate.is_withheld(each.name, exclude_limited=False) for each in usable
     )
 
 
@@ -102,7 +102,7 @@
     return [
         each.name
         for each in state.knowledge.table.usable(pool)
-        if state.gate.is_held(each.name, exclude_limited=True)
+        if state.gate.is_withheld(each.name, exclude_limited=True)
         # A leaving endpoint takes no more requests.
         and state.gate.why_held(each.name) is not Held.leaving
     ]
--- a/wingfall/gateway/calls/open_endpoints.py
+++ b/wingfall/gateway/calls/open_endpoints.py
@@ -122,7 +122,7 @@
         call.priority,
         state.clock.now_ms(),
     )
-    return functools.partial(state.gate.is_held, exclude_limited=must_yield)
+    return functools.partial(state.gate.is_withheld, exclude_limited=must_yield)
 
 
 def _list_caching(
--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -200,7 +200,7 @@
         limit_ms = min(own_ms, MS_PER_S / self.rate_of_all(endpoint))
         return max(rest_ms, limit_ms)
 
-    def is_held(self, endpoint: str, *, exclude_limited: bool) -> bool:
+    def is_withheld(self, endpoint: str, *, exclude_limited: bool) -> bool:
         """Check if an endpoint is excluded for a call.
 
         :param endpoint: name of the endpoint.
