--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -287,4 +287,4 @@
             set_start_errors(self._metrics, self._state.knowledge.start_estimates)
             names = self._state.knowledge.table.names
             self._state.connections.retain_only(names)
-            self._state.gate.forget(names)
+            self._state.gate.retain_only(names)
--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -212,7 +212,7 @@
             return True
         return self.why_held(endpoint) is not None
 
-    def forget(self, listed: Iterable[str]) -> None:
+    def retain_only(self, listed: Iterable[str]) -> None:
         """Drop the state of unlisted endpoints.
 
         :param listed: names of the listed endpoints.
