--- a/tests/test_object_exchange.py
+++ b/tests/test_object_exchange.py
@@ -42,7 +42,7 @@
 
     def receive_revision(self, peer: PeerSession, revision: int) -> None:
         """Process the revision in a heartbeat of a peer."""
-        self.exchange.compare(peer, ROUTES_KIND, revision)
+        self.exchange.check_revision(peer, ROUTES_KIND, revision)
 
 
 def store_reading(revision: int) -> StoreReading:
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -265,7 +265,7 @@
         if self._duties is not None and heartbeat.duties:
             self._duties.take(session, heartbeat.duties)
         for kind, revision in heartbeat.revisions.items():
-            self._exchange.compare(session, kind, revision)
+            self._exchange.check_revision(session, kind, revision)
 
     def _send_updates(
         self,
--- a/wingfall/gateway/peers/objects/object_exchange.py
+++ b/wingfall/gateway/peers/objects/object_exchange.py
@@ -92,7 +92,7 @@
             kind: replica.revision for kind, replica in self._replicas.items()
         }
 
-    def compare(self, session: PeerSession, kind: str, revision: int) -> None:
+    def check_revision(self, session: PeerSession, kind: str, revision: int) -> None:
         """Fetch objects if a peer has been ahead for longer than the delay.
 
         :param session: session with the peer.
