--- a/tests/test_object_exchange.py
+++ b/tests/test_object_exchange.py
@@ -97,7 +97,7 @@
 def test_peer_that_ended_is_not_waited_for(local_peers: list[PeerSession]):
     gateway = _Gateway(revision=0)
     gateway.receive_revision(local_peers[0], 5)
-    gateway.exchange.forget(local_peers[0])
+    gateway.exchange.cancel_fetches(local_peers[0])
     gateway.receive_revision(local_peers[1], 5)
     assert count_fetches(local_peers[1]) == 1
 
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -148,7 +148,7 @@
 
         :param session: the session that ended.
         """
-        self._exchange.forget(session)
+        self._exchange.cancel_fetches(session)
         self._load.remove_peer(session.name)
         self._updates.forget(session)
         if self._duties is not None:
--- a/wingfall/gateway/peers/objects/object_exchange.py
+++ b/wingfall/gateway/peers/objects/object_exchange.py
@@ -122,7 +122,7 @@
             behind_ms=now_ms - since_ms,
         )
 
-    def forget(self, session: PeerSession) -> None:
+    def cancel_fetches(self, session: PeerSession) -> None:
         """Cancel the fetches at a disconnected peer.
 
         :param session: session with the peer.
