--- a/tests/peer_standin.py
+++ b/tests/peer_standin.py
@@ -92,7 +92,7 @@
                 session = PeerSession(hello=message, connection=connection)
                 self.sessions += 1
             elif isinstance(message, ObjectsFetch) and session is not None:
-                self._exchange.answer(session, message)
+                self._exchange.send_objects(session, message)
 
     def _send_heartbeats(self, connection: Connection) -> None:
         while not connection.closed:
--- a/tests/test_object_exchange.py
+++ b/tests/test_object_exchange.py
@@ -108,7 +108,7 @@
     gateway = _Gateway(revision=0)
     gateway.receive_revision(local_peers[0], 5)
     answering = _Gateway(revision=5)
-    answering.exchange.answer(local_peers[1], local_peers[0].connection.sent[0])
+    answering.exchange.send_objects(local_peers[1], local_peers[0].connection.sent[0])
     gateway.exchange.take(local_peers[0], local_peers[1].connection.sent[0])
     assert gateway.replica.revision == 5
     assert gateway.replica.since(0)[0].spec == {}
@@ -159,7 +159,7 @@
     def deliver_chunk(self) -> ObjectsPage:
         """Deliver the last fetch to the peer, and its answer back."""
         fetch = self.to_ahead.connection.sent[-1]
-        self.ahead.exchange.answer(self.to_behind, fetch)
+        self.ahead.exchange.send_objects(self.to_behind, fetch)
         page = self.to_behind.connection.sent[-1]
         self.behind.exchange.take(self.to_ahead, page)
         return page
@@ -239,7 +239,7 @@
 def test_program_that_takes_whole_objects_only_is_given_them():
     ahead = _Gateway(revision=5)
     back = peer('older')
-    ahead.exchange.answer(back, ObjectsFetch(kind=ROUTES_KIND, revision=4))
+    ahead.exchange.send_objects(back, ObjectsFetch(kind=ROUTES_KIND, revision=4))
     (page,) = back.connection.sent
     assert page.objects == [['main', 5, b'{}']]
     behind = _Gateway(revision=4)
@@ -254,7 +254,7 @@
         StoreReading(revision=9, objects=store_reading(5).objects),
     )
     back = peer('behind')
-    ahead.exchange.answer(
+    ahead.exchange.send_objects(
         back, ObjectsFetch(kind=ROUTES_KIND, revision=5, most=CHUNK_BYTES)
     )
     (page,) = back.connection.sent
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -121,7 +121,7 @@
         self._handlers: dict[type[Message], Callable[..., None]] = {
             GatewayHeartbeat: self._handle_heartbeat,
             ZoneLoads: self._handle_zone_loads,
-            ObjectsFetch: exchange.answer,
+            ObjectsFetch: exchange.send_objects,
             ObjectsPage: exchange.take,
             PartsFetch: transfer.answer,
             PartsPage: transfer.take,
--- a/wingfall/gateway/peers/objects/object_exchange.py
+++ b/wingfall/gateway/peers/objects/object_exchange.py
@@ -133,7 +133,7 @@
             if fetch.session is not session
         }
 
-    def answer(self, session: PeerSession, fetch: ObjectsFetch) -> None:
+    def send_objects(self, session: PeerSession, fetch: ObjectsFetch) -> None:
         """Send the requested objects or chunk to a peer.
 
         :param session: session with the peer.
