--- a/tests/test_object_exchange.py
+++ b/tests/test_object_exchange.py
@@ -109,7 +109,7 @@
     gateway.receive_revision(local_peers[0], 5)
     answering = _Gateway(revision=5)
     answering.exchange.send_objects(local_peers[1], local_peers[0].connection.sent[0])
-    gateway.exchange.take(local_peers[0], local_peers[1].connection.sent[0])
+    gateway.exchange.process_page(local_peers[0], local_peers[1].connection.sent[0])
     assert gateway.replica.revision == 5
     assert gateway.replica.since(0)[0].spec == {}
     gateway.receive_revision(local_peers[2], 6)
@@ -161,7 +161,7 @@
         fetch = self.to_ahead.connection.sent[-1]
         self.ahead.exchange.send_objects(self.to_behind, fetch)
         page = self.to_behind.connection.sent[-1]
-        self.behind.exchange.take(self.to_ahead, page)
+        self.behind.exchange.process_page(self.to_ahead, page)
         return page
 
 
@@ -213,7 +213,7 @@
     transfer.begin()
     page = transfer.deliver_chunk()
     asked = count_fetches(transfer.to_ahead)
-    transfer.behind.exchange.take(
+    transfer.behind.exchange.process_page(
         transfer.to_ahead,
         ObjectsPage(
             kind=ROUTES_KIND,
@@ -233,7 +233,7 @@
     transfer.begin()
     page = ObjectsPage(kind=ROUTES_KIND, revision=5, size=4, chunk=b'\0\0\0\0')
     with pytest.raises(WireError, match='can not be read'):
-        transfer.behind.exchange.take(transfer.to_ahead, page)
+        transfer.behind.exchange.process_page(transfer.to_ahead, page)
 
 
 def test_program_that_takes_whole_objects_only_is_given_them():
@@ -243,7 +243,7 @@
     (page,) = back.connection.sent
     assert page.objects == [['main', 5, b'{}']]
     behind = _Gateway(revision=4)
-    behind.exchange.take(peer('ahead'), page)
+    behind.exchange.process_page(peer('ahead'), page)
     assert behind.replica.revision == 5
 
 
@@ -260,7 +260,7 @@
     (page,) = back.connection.sent
     assert not page.size
     behind = _Gateway(revision=5)
-    behind.exchange.take(peer('ahead'), page)
+    behind.exchange.process_page(peer('ahead'), page)
     assert behind.replica.revision == 9
 
 
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -122,7 +122,7 @@
             GatewayHeartbeat: self._handle_heartbeat,
             ZoneLoads: self._handle_zone_loads,
             ObjectsFetch: exchange.send_objects,
-            ObjectsPage: exchange.take,
+            ObjectsPage: exchange.process_page,
             PartsFetch: transfer.answer,
             PartsPage: transfer.take,
         }
--- a/wingfall/gateway/peers/objects/object_exchange.py
+++ b/wingfall/gateway/peers/objects/object_exchange.py
@@ -156,7 +156,7 @@
         )
         session.connection.send(page)
 
-    def take(self, session: PeerSession, page: ObjectsPage) -> None:
+    def process_page(self, session: PeerSession, page: ObjectsPage) -> None:
         """Process an answer of a peer and request the next chunk.
 
         :param session: session with the peer.
