--- a/wingfall/gateway/peers/objects/object_exchange.py
+++ b/wingfall/gateway/peers/objects/object_exchange.py
@@ -186,7 +186,7 @@
         fetch = ObjectFetch(
             session=session,
             revision=replica.revision,
-            asked_ms=self._clock.now_ms(),
+            started_ms=self._clock.now_ms(),
             wait_ms=self._backoffs[replica.kind].take_ms(),
         )
         self._fetches[replica.kind] = fetch
@@ -244,7 +244,7 @@
         fetch = self._fetches.pop(kind, None)
         self._backoffs[kind].reset()
         applied = replica.catch_up(reading)
-        asked_ms = fetch.asked_ms if fetch else None
+        asked_ms = fetch.started_ms if fetch else None
         log_event(
             'peers',
             'A peer gave objects.',
@@ -266,7 +266,7 @@
                 peer=late.session.name,
                 kind=kind,
                 bytes=late.transfer.offset,
-                ms=now_ms - late.asked_ms,
+                ms=now_ms - late.started_ms,
             )
 
     def _delay_ms(self, session: PeerSession) -> int:
--- a/wingfall/gateway/peers/objects/object_fetch.py
+++ b/wingfall/gateway/peers/objects/object_fetch.py
@@ -19,7 +19,7 @@
     """Pending fetch of one kind of object from a peer."""
 
     __slots__ = (
-        'asked_ms',
+        'started_ms',
         'revision',
         'session',
         'transfer',
@@ -32,21 +32,21 @@
         *,
         session: PeerSession,
         revision: int,
-        asked_ms: int,
+        started_ms: int,
         wait_ms: int,
     ) -> None:
         """Create a fetch without sending a request.
 
         :param session: session with the peer.
         :param revision: revision up to which this gateway has all objects.
-        :param asked_ms: start of the fetch, in milliseconds of the clock.
+        :param started_ms: start of the fetch, in milliseconds of the clock.
         :param wait_ms: timeout of a chunk in milliseconds.
         """
         self.session = session
         self.revision = revision
-        self.asked_ms = asked_ms
+        self.started_ms = started_ms
         self.wait_ms = wait_ms
-        self.until_ms = asked_ms + wait_ms
+        self.until_ms = started_ms + wait_ms
         self.transfer = IncomingTransfer()
 
     def ask(self, kind: str) -> None:
