--- a/wingfall/gateway/peers/objects/object_exchange.py
+++ b/wingfall/gateway/peers/objects/object_exchange.py
@@ -108,7 +108,7 @@
         if replica.revision and now_ms - since_ms < self._delay_ms(session):
             return
         active_fetch = self._fetches.get(kind)
-        if active_fetch is not None and active_fetch.until_ms > now_ms:
+        if active_fetch is not None and active_fetch.deadline_ms > now_ms:
             return
         self._log_timeout(kind, now_ms)
         self._start_fetch(session, replica)
@@ -177,7 +177,7 @@
             reading = fetch.transfer.reading()
             self._apply(session, page.kind, reading, page.size)
             return
-        fetch.until_ms = self._clock.now_ms() + fetch.wait_ms
+        fetch.deadline_ms = self._clock.now_ms() + fetch.wait_ms
         fetch.ask(page.kind)
 
     def _start_fetch(
--- a/wingfall/gateway/peers/objects/object_fetch.py
+++ b/wingfall/gateway/peers/objects/object_fetch.py
@@ -23,7 +23,7 @@
         'revision',
         'session',
         'transfer',
-        'until_ms',
+        'deadline_ms',
         'wait_ms',
     )
 
@@ -46,7 +46,7 @@
         self.revision = revision
         self.started_ms = started_ms
         self.wait_ms = wait_ms
-        self.until_ms = started_ms + wait_ms
+        self.deadline_ms = started_ms + wait_ms
         self.transfer = IncomingTransfer()
 
     def ask(self, kind: str) -> None:
