--- a/wingfall/gateway/peers/objects/object_exchange.py
+++ b/wingfall/gateway/peers/objects/object_exchange.py
@@ -177,7 +177,7 @@
             reading = fetch.transfer.reading()
             self._apply(session, page.kind, reading, page.size)
             return
-        fetch.deadline_ms = self._clock.now_ms() + fetch.wait_ms
+        fetch.deadline_ms = self._clock.now_ms() + fetch.chunk_timeout_ms
         fetch.ask(page.kind)
 
     def _start_fetch(
@@ -187,7 +187,7 @@
             session=session,
             revision=replica.revision,
             started_ms=self._clock.now_ms(),
-            wait_ms=self._backoffs[replica.kind].take_ms(),
+            chunk_timeout_ms=self._backoffs[replica.kind].take_ms(),
         )
         self._fetches[replica.kind] = fetch
         fetch.ask(replica.kind)
--- a/wingfall/gateway/peers/objects/object_fetch.py
+++ b/wingfall/gateway/peers/objects/object_fetch.py
@@ -24,7 +24,7 @@
         'session',
         'transfer',
         'deadline_ms',
-        'wait_ms',
+        'chunk_timeout_ms',
     )
 
     def __init__(
@@ -33,20 +33,20 @@
         session: PeerSession,
         revision: int,
         started_ms: int,
-        wait_ms: int,
+        chunk_timeout_ms: int,
     ) -> None:
         """Create a fetch without sending a request.
 
         :param session: session with the peer.
         :param revision: revision up to which this gateway has all objects.
         :param started_ms: start of the fetch, in milliseconds of the clock.
-        :param wait_ms: timeout of a chunk in milliseconds.
+        :param chunk_timeout_ms: timeout of a chunk in milliseconds.
         """
         self.session = session
         self.revision = revision
         self.started_ms = started_ms
-        self.wait_ms = wait_ms
-        self.deadline_ms = started_ms + wait_ms
+        self.chunk_timeout_ms = chunk_timeout_ms
+        self.deadline_ms = started_ms + chunk_timeout_ms
         self.transfer = IncomingTransfer()
 
     def ask(self, kind: str) -> None:
