--- a/wingfall/gateway/peers/objects/object_exchange.py
+++ b/wingfall/gateway/peers/objects/object_exchange.py
@@ -178,7 +178,7 @@
             self._apply(session, page.kind, reading, page.size)
             return
         fetch.deadline_ms = self._clock.now_ms() + fetch.chunk_timeout_ms
-        fetch.ask(page.kind)
+        fetch.request_chunk(page.kind)
 
     def _start_fetch(
         self, session: PeerSession, replica: ObjectReplica
@@ -190,7 +190,7 @@
             chunk_timeout_ms=self._backoffs[replica.kind].take_ms(),
         )
         self._fetches[replica.kind] = fetch
-        fetch.ask(replica.kind)
+        fetch.request_chunk(replica.kind)
 
     def _send_chunk(
         self,
--- a/wingfall/gateway/peers/objects/object_fetch.py
+++ b/wingfall/gateway/peers/objects/object_fetch.py
@@ -49,7 +49,7 @@
         self.deadline_ms = started_ms + chunk_timeout_ms
         self.transfer = IncomingTransfer()
 
-    def ask(self, kind: str) -> None:
+    def request_chunk(self, kind: str) -> None:
         """Request the next chunk from the peer.
 
         :param kind: kind of object.
