--- a/wingfall/gateway/peers/objects/object_exchange.py
+++ b/wingfall/gateway/peers/objects/object_exchange.py
@@ -171,7 +171,7 @@
         fetch = self._fetches.get(page.kind)
         if fetch is None or fetch.session is not session:
             return
-        if not fetch.transfer.take(page):
+        if not fetch.transfer.append_chunk(page):
             return
         if fetch.transfer.complete:
             reading = fetch.transfer.reading()
--- a/wingfall/gateway/peers/objects/object_transfer.py
+++ b/wingfall/gateway/peers/objects/object_transfer.py
@@ -82,7 +82,7 @@
         """Whether all chunks have been received."""
         return bool(self._size) and len(self._received) == self._size
 
-    def take(self, page: ObjectsPage) -> bool:
+    def append_chunk(self, page: ObjectsPage) -> bool:
         """Append a chunk.
 
         :param page: message that carries the chunk.
