--- a/wingfall/gateway/peers/objects/object_exchange.py
+++ b/wingfall/gateway/peers/objects/object_exchange.py
@@ -174,7 +174,7 @@
         if not fetch.transfer.append_chunk(page):
             return
         if fetch.transfer.complete:
-            reading = fetch.transfer.reading()
+            reading = fetch.transfer.unpack()
             self._apply(session, page.kind, reading, page.size)
             return
         fetch.deadline_ms = self._clock.now_ms() + fetch.chunk_timeout_ms
--- a/wingfall/gateway/peers/objects/object_transfer.py
+++ b/wingfall/gateway/peers/objects/object_transfer.py
@@ -98,7 +98,7 @@
         self._received += page.chunk
         return True
 
-    def reading(self) -> StoreReading:
+    def unpack(self) -> StoreReading:
         """Unpack the objects once all chunks have been received.
 
         :returns: the objects and the revision up to which they are complete.
