--- a/tests/test_parts_transfer.py
+++ b/tests/test_parts_transfer.py
@@ -58,25 +58,25 @@
 
 def test_one_peer_that_knows_is_asked(gateway: _Gateway):
     peers = [peer('new', knows_caches=False), peer('one'), peer('two')]
-    gateway.transfer.step(peers)
-    gateway.transfer.step(peers)
+    gateway.transfer.request_if_due(peers)
+    gateway.transfer.request_if_due(peers)
     assert asked_peers(*peers) == ['one']
 
 
 def test_peer_of_another_zone_is_asked_later(gateway: _Gateway):
     far = peer('far', zone='osl-b')
-    gateway.transfer.step([far])
+    gateway.transfer.request_if_due([far])
     assert not asked_peers(far)
     gateway.clock.advance(300)
-    gateway.transfer.step([far])
+    gateway.transfer.request_if_due([far])
     assert asked_peers(far)
 
 
 def test_another_peer_is_asked_when_the_first_is_silent(gateway: _Gateway):
     peers = [peer('one'), peer('two')]
-    gateway.transfer.step(peers)
+    gateway.transfer.request_if_due(peers)
     gateway.clock.advance(1000)
-    gateway.transfer.step(peers)
+    gateway.transfer.request_if_due(peers)
     assert asked_peers(*peers) == ['one', 'two']
 
 
@@ -85,7 +85,7 @@
     asked_ms = []
     for now_ms in range(0, 8000, 100):
         sent = sum(len(each.connection.sent) for each in peers)
-        gateway.transfer.step(peers)
+        gateway.transfer.request_if_due(peers)
         if sum(len(each.connection.sent) for each in peers) > sent:
             asked_ms.append(now_ms)
         gateway.clock.advance(100)
@@ -95,12 +95,12 @@
 def test_gateway_is_informed_when_nobody_knows(gateway: _Gateway):
     new = peer('new', knows_caches=False)
     gateway.clock.advance(2900)
-    gateway.transfer.step([new])
+    gateway.transfer.request_if_due([new])
     assert not gateway.transfer.knows_caches
     gateway.clock.advance(100)
-    gateway.transfer.step([])
+    gateway.transfer.request_if_due([])
     assert not gateway.transfer.knows_caches
-    gateway.transfer.step([new])
+    gateway.transfer.request_if_due([new])
     assert gateway.transfer.knows_caches
 
 
--- a/wingfall/gateway/peers/caches/parts_transfer.py
+++ b/wingfall/gateway/peers/caches/parts_transfer.py
@@ -91,7 +91,7 @@
             self.knows_caches = False
             self._behind_since_ms = self._clock.now_ms()
 
-    def step(self, sessions: Collection[PeerSession]) -> None:
+    def request_if_due(self, sessions: Collection[PeerSession]) -> None:
         """Send a request to a peer if one is due.
 
         :param sessions: sessions with the connected peers.
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -168,7 +168,7 @@
         """Send the messages that are due; called at each tick."""
         now_ms = self._clock.now_ms()
         sessions = list(self._sessions.values())
-        self._transfer.step(sessions)
+        self._transfer.request_if_due(sessions)
         near = len(self._loads.near(sessions))
         self._schedule.set_peers(near=near, peers=len(sessions))
         watching = self._is_watching()
