--- a/tests/test_parts_transfer.py
+++ b/tests/test_parts_transfer.py
@@ -107,7 +107,7 @@
 def test_what_a_peer_tells_is_known(gateway: _Gateway):
     informed, session = _Gateway(), peer('one')
     informed.caches.find('e1').note(PARTS)
-    informed.transfer.answer(session, PartsFetch(most=10))
+    informed.transfer.send_parts(session, PartsFetch(most=10))
     gateway.transfer.take(session, session.connection.sent[0])
     assert gateway.transfer.knows_caches
     assert gateway.caches.find('e1').cached_tokens(PARTS) == 500
@@ -119,7 +119,7 @@
         gateway.caches.find(engine).note(
             PromptPart(part_id=f'p{number}', tokens=1) for number in range(20)
         )
-    gateway.transfer.answer(session, PartsFetch(most=10))
+    gateway.transfer.send_parts(session, PartsFetch(most=10))
     (page,) = session.connection.sent
     assert [len(entry) for entry in page.parts] == [1 + 5, 1 + 5]
 
--- a/wingfall/gateway/peers/caches/parts_transfer.py
+++ b/wingfall/gateway/peers/caches/parts_transfer.py
@@ -110,7 +110,7 @@
         elif sessions and behind_ms >= _ASSUME_INFORMED_MS:
             self.knows_caches = True
 
-    def answer(self, session: PeerSession, fetch: PartsFetch) -> None:
+    def send_parts(self, session: PeerSession, fetch: PartsFetch) -> None:
         """Send the known cached parts to a peer.
 
         :param session: session with the peer.
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -123,7 +123,7 @@
             ZoneLoads: self._handle_zone_loads,
             ObjectsFetch: exchange.send_objects,
             ObjectsPage: exchange.process_page,
-            PartsFetch: transfer.answer,
+            PartsFetch: transfer.send_parts,
             PartsPage: transfer.take,
         }
 
