--- a/tests/test_parts_transfer.py
+++ b/tests/test_parts_transfer.py
@@ -108,7 +108,7 @@
     informed, session = _Gateway(), peer('one')
     informed.caches.find('e1').note(PARTS)
     informed.transfer.send_parts(session, PartsFetch(most=10))
-    gateway.transfer.take(session, session.connection.sent[0])
+    gateway.transfer.record_page(session, session.connection.sent[0])
     assert gateway.transfer.knows_caches
     assert gateway.caches.find('e1').cached_tokens(PARTS) == 500
 
--- a/wingfall/gateway/peers/caches/parts_transfer.py
+++ b/wingfall/gateway/peers/caches/parts_transfer.py
@@ -124,7 +124,7 @@
         ]
         session.connection.send(PartsPage(parts=parts))
 
-    def take(self, session: PeerSession, page: PartsPage) -> None:
+    def record_page(self, session: PeerSession, page: PartsPage) -> None:
         """Record the cached parts in an answer of a peer.
 
         :param session: session with the peer.
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -124,7 +124,7 @@
             ObjectsFetch: exchange.send_objects,
             ObjectsPage: exchange.process_page,
             PartsFetch: transfer.send_parts,
-            PartsPage: transfer.take,
+            PartsPage: transfer.record_page,
         }
 
     def greet(self, session: PeerSession) -> None:
