--- a/wingfall/gateway/peers/caches/memory_survey.py
+++ b/wingfall/gateway/peers/caches/memory_survey.py
@@ -110,7 +110,7 @@
 
     def run(self) -> None:
         """Query this gateway's share of the engines, each once."""
-        if self._transfer.wait(_PEER_TIMEOUT_MS):
+        if self._transfer.wait_until_informed(_PEER_TIMEOUT_MS):
             return
         engines = self._wait_for_engines()
         greenlets = GreenletPool(_MAX_PARALLEL_QUERIES)
--- a/wingfall/gateway/peers/caches/parts_transfer.py
+++ b/wingfall/gateway/peers/caches/parts_transfer.py
@@ -142,7 +142,7 @@
             parts=sum(len(entry) - 1 for entry in page.parts),
         )
 
-    def wait(self, timeout_ms: int) -> bool:
+    def wait_until_informed(self, timeout_ms: int) -> bool:
         """Wait until this gateway knows the cached parts.
 
         :param timeout_ms: milliseconds to wait, extended by a pending request.
