--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -132,7 +132,7 @@
 
         :param session: the session with the peer.
         """
-        near = self._loads.near([session])
+        near = self._loads.own_zone_peers([session])
         heartbeat = self._writer.write(
             leaving=self._is_stopping(),
             whole=True,
@@ -169,7 +169,7 @@
         now_ms = self._clock.now_ms()
         sessions = list(self._sessions.values())
         self._transfer.request_if_due(sessions)
-        near = len(self._loads.near(sessions))
+        near = len(self._loads.own_zone_peers(sessions))
         self._schedule.set_peers(near=near, peers=len(sessions))
         watching = self._is_watching()
         due = self._schedule.due(
@@ -205,7 +205,7 @@
         :param whole: whether to send all loads, not only changes.
         """
         sessions = list(self._sessions.values())
-        near = self._loads.near(sessions)
+        near = self._loads.own_zone_peers(sessions)
         if whole or leaving or self._has_new_objects():
             other_zones = [each for each in sessions if each.zone != self._zone]
             _send_to_all(
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -74,7 +74,7 @@
         )
         self._zone_seen_ms: dict[str, int] = {}
 
-    def near(self, sessions: Iterable[PeerSession]) -> list[PeerSession]:
+    def own_zone_peers(self, sessions: Iterable[PeerSession]) -> list[PeerSession]:
         """Return the peers of the own availability zone.
 
         :param sessions: sessions with the connected peers.
@@ -194,7 +194,7 @@
             self._knowledge,
         )
         if session.zone == zone_loads.zone:
-            for near in self.near(sessions):
+            for near in self.own_zone_peers(sessions):
                 near.connection.send(zone_loads)
 
     def relay(
