--- a/tests/exchange_site.py
+++ b/tests/exchange_site.py
@@ -190,7 +190,7 @@
         if now_ms - one.last_report_ms < interval_ms(len(near)) and not whole:
             return
         one.last_report_ms = now_ms
-        reach = one.exchange.reach(one.sessions.values())
+        reach = one.exchange.count_reached_zones(one.sessions.values())
         for each in others:
             session = each.sessions[one.name]
             session.last_seen_ms = now_ms
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -82,7 +82,7 @@
         """
         return [each for each in sessions if each.zone == self._zone]
 
-    def reach(self, sessions: Collection[PeerSession]) -> int:
+    def count_reached_zones(self, sessions: Collection[PeerSession]) -> int:
         """Count the other zones from which this gateway receives heartbeats.
 
         :param sessions: sessions with the connected peers.
@@ -209,7 +209,7 @@
         :param whole: whether to send all loads, not only changes.
         """
         self._remove_silent_zones(self._clock.now_ms())
-        reach = self.reach(sessions)
+        reach = self.count_reached_zones(sessions)
         self._relay.tell(sessions, reach=reach, whole=whole)
 
     def _remove_silent_zones(self, now_ms: int) -> None:
