--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -136,7 +136,7 @@
         heartbeat = self._writer.write(
             leaving=self._is_stopping(),
             whole=True,
-            loads=self._loads.own_loads() if near else None,
+            loads=self._loads.encode_own_loads() if near else None,
             activity=self._loads.known_speeds() if near else None,
             updates=self._updates.write_all(),
             duties=self._duties.greet() if self._duties else None,
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -95,7 +95,7 @@
         }
         return len(reached - {self._zone})
 
-    def own_loads(self) -> list[list[Any]]:
+    def encode_own_loads(self) -> list[list[Any]]:
         """Encode the loads of all requests that this gateway has sent.
 
         :returns: the entries of a heartbeat.
@@ -119,7 +119,7 @@
         :returns: the entries of a heartbeat.
         """
         changed = self._knowledge.load.take_unreported()
-        return self.own_loads() if whole else write_loads(changed)
+        return self.encode_own_loads() if whole else write_loads(changed)
 
     def take_activity(self) -> Activity:
         """Encode the activity since the last report.
