--- a/tests/exchange_site.py
+++ b/tests/exchange_site.py
@@ -173,7 +173,7 @@
 
     def greet(self, one: Gateway, other: Gateway) -> None:
         """Send all known engine speeds from a gateway to a peer."""
-        known = one.exchange.known_speeds()
+        known = one.exchange.encode_known_speeds()
         self._deliver(one, other, [], known, whole=False)
 
     def _connect(self, one: Gateway, other: Gateway) -> None:
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -137,7 +137,7 @@
             leaving=self._is_stopping(),
             whole=True,
             loads=self._loads.encode_own_loads() if near else None,
-            activity=self._loads.known_speeds() if near else None,
+            activity=self._loads.encode_known_speeds() if near else None,
             updates=self._updates.write_all(),
             duties=self._duties.greet() if self._duties else None,
         )
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -102,7 +102,7 @@
         """
         return write_loads(self._knowledge.load.own)
 
-    def known_speeds(self) -> Activity:
+    def encode_known_speeds(self) -> Activity:
         """Encode the known prefill rates and token gaps for a new gateway.
 
         :returns: the entries of a heartbeat.
