--- a/tests/exchange_site.py
+++ b/tests/exchange_site.py
@@ -195,7 +195,7 @@
             session = each.sessions[one.name]
             session.last_seen_ms = now_ms
             session.reach = reach
-        loads = one.exchange.take_loads(whole=whole)
+        loads = one.exchange.collect_loads(whole=whole)
         activity = one.exchange.take_activity()
         sample_bytes = encoded_bytes(activity.readings)
         for other in near:
--- a/tests/load_replay.py
+++ b/tests/load_replay.py
@@ -506,7 +506,7 @@
         self.customers[call.call.customer_name][end] += 1
 
     def _send_heartbeat(self, gateway: ReplayedGateway) -> None:
-        loads = gateway.exchange.take_loads(whole=False)
+        loads = gateway.exchange.collect_loads(whole=False)
         activity = gateway.exchange.take_activity()
         for peer in self._gateways:
             if peer is not gateway:
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -214,7 +214,7 @@
         heartbeat = self._writer.write(
             leaving=leaving,
             whole=whole,
-            loads=self._loads.take_loads(whole=whole),
+            loads=self._loads.collect_loads(whole=whole),
             activity=self._loads.take_activity(),
         )
         _send_to_all(near, heartbeat)
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -112,7 +112,7 @@
             gaps=self._knowledge.full_gaps.write_all(),
         )
 
-    def take_loads(self, *, whole: bool) -> list[list[Any]]:
+    def collect_loads(self, *, whole: bool) -> list[list[Any]]:
         """Encode the loads that have changed since the last report.
 
         :param whole: whether to encode all loads.
