--- a/tests/exchange_site.py
+++ b/tests/exchange_site.py
@@ -196,7 +196,7 @@
             session.last_seen_ms = now_ms
             session.reach = reach
         loads = one.exchange.collect_loads(whole=whole)
-        activity = one.exchange.take_activity()
+        activity = one.exchange.collect_activity()
         sample_bytes = encoded_bytes(activity.readings)
         for other in near:
             if not self.is_lost():
--- a/tests/load_replay.py
+++ b/tests/load_replay.py
@@ -507,7 +507,7 @@
 
     def _send_heartbeat(self, gateway: ReplayedGateway) -> None:
         loads = gateway.exchange.collect_loads(whole=False)
-        activity = gateway.exchange.take_activity()
+        activity = gateway.exchange.collect_activity()
         for peer in self._gateways:
             if peer is not gateway:
                 self._run_after(
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -215,7 +215,7 @@
             leaving=leaving,
             whole=whole,
             loads=self._loads.collect_loads(whole=whole),
-            activity=self._loads.take_activity(),
+            activity=self._loads.collect_activity(),
         )
         _send_to_all(near, heartbeat)
         self._sent_revisions = self._exchange.revisions
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -121,7 +121,7 @@
         changed = self._knowledge.load.take_unreported()
         return self.encode_own_loads() if whole else write_loads(changed)
 
-    def take_activity(self) -> Activity:
+    def collect_activity(self) -> Activity:
         """Encode the activity since the last report.
 
         :returns: the entries of a heartbeat.
