--- a/tests/exchange_site.py
+++ b/tests/exchange_site.py
@@ -218,6 +218,6 @@
             outcomes=activity.outcomes,
             readings=activity.readings,
         )
-        other.exchange.take_heartbeat(
+        other.exchange.merge_heartbeat(
             other.sessions[one.name], loads, received, whole=whole
         )
--- a/tests/load_replay.py
+++ b/tests/load_replay.py
@@ -513,7 +513,7 @@
                 self._run_after(
                     _MESSAGE_DELAY_MS,
                     functools.partial(
-                        peer.exchange.take_heartbeat,
+                        peer.exchange.merge_heartbeat,
                         gateway.session,
                         loads,
                         activity,
--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -274,12 +274,12 @@
     put_early(LATER_MS)
     early.knowledge.load.start(started(LATER_MS).name, EndpointLoad(running=3))
     loads = source.collect_loads(whole=True)
-    target.take_heartbeat(peer, loads, Activity(), whole=True)
+    target.merge_heartbeat(peer, loads, Activity(), whole=True)
     # The late gateway knows only the earlier start, without that work.
     assert late.knowledge.load.total(started(FIRST_MS).name).running == 0
     late.knowledge.load.start(started(FIRST_MS).name, EndpointLoad(running=9))
     back = make_exchange(late, 'late').collect_loads(whole=True)
-    source.take_heartbeat(
+    source.merge_heartbeat(
         SimpleNamespace(name='late', zone='a'), back, Activity(), whole=True
     )
     assert early.knowledge.load.total(started(LATER_MS).name).running == 3
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -248,7 +248,7 @@
         session.knows_caches = heartbeat.knows_caches
         session.reach = heartbeat.reach
         session.last_seen_ms = self._clock.now_ms()
-        self._loads.take_heartbeat(
+        self._loads.merge_heartbeat(
             session,
             heartbeat.loads,
             Activity(
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -138,7 +138,7 @@
         self._relay.note(activity)
         return activity
 
-    def take_heartbeat(
+    def merge_heartbeat(
         self,
         session: PeerSession,
         loads: list[list[Any]],
