--- a/tests/exchange_site.py
+++ b/tests/exchange_site.py
@@ -103,7 +103,7 @@
         self._site.reading_bytes[far] += sample_bytes
         sink.received_bytes += sample_bytes
         session = sink.sessions[source.name]
-        sink.exchange.take_zone(session, message, sink.sessions.values())
+        sink.exchange.merge_zone_loads(session, message, sink.sessions.values())
 
 
 @final
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -282,7 +282,7 @@
     def _handle_zone_loads(
         self, session: PeerSession, loads: ZoneLoads
     ) -> None:
-        self._loads.take_zone(session, loads, self._sessions.values())
+        self._loads.merge_zone_loads(session, loads, self._sessions.values())
 
     def _has_new_objects(self) -> bool:
         return self._sent_revisions != self._exchange.revisions
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -162,7 +162,7 @@
             activity.readings = only_seen(activity.readings)
             self._relay.note(activity)
 
-    def take_zone(
+    def merge_zone_loads(
         self,
         session: PeerSession,
         zone_loads: ZoneLoads,
