--- a/tests/exchange_site.py
+++ b/tests/exchange_site.py
@@ -137,7 +137,7 @@
                 self._report(one, whole=whole)
         for one in self.gateways:
             if one.alive:
-                one.exchange.relay(one.sessions.values(), whole=whole)
+                one.exchange.relay_zone_loads(one.sessions.values(), whole=whole)
 
     def kill(self, gateway: Gateway) -> None:
         """Stop a gateway and remove the sessions of the others with it."""
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -187,7 +187,7 @@
                 leaving=self._is_stopping(),
                 whole=due is HeartbeatDue.whole,
             )
-        self._loads.relay(sessions, whole=due is HeartbeatDue.whole)
+        self._loads.relay_zone_loads(sessions, whole=due is HeartbeatDue.whole)
         self.tell_duties(sessions)
 
     def tell_news(self, kind: NewsKind) -> None:
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -197,7 +197,7 @@
             for near in self.own_zone_peers(sessions):
                 near.connection.send(zone_loads)
 
-    def relay(
+    def relay_zone_loads(
         self,
         sessions: Collection[PeerSession],
         *,
