--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -135,7 +135,7 @@
             work=self._knowledge.customer_work.take_untold(),
             gaps=self._knowledge.full_gaps.take_untold(),
         )
-        self._relay.note(activity)
+        self._relay.add_activity(activity)
         return activity
 
     def merge_heartbeat(
@@ -160,7 +160,7 @@
         if session.zone == self._zone:
             # Other zones have received the samples that a greeting sums up.
             activity.readings = only_seen(activity.readings)
-            self._relay.note(activity)
+            self._relay.add_activity(activity)
 
     def merge_zone_loads(
         self,
--- a/wingfall/gateway/peers/loads/zone_relay.py
+++ b/wingfall/gateway/peers/loads/zone_relay.py
@@ -72,7 +72,7 @@
         self._is_relay: bool | None = None
         self._last_sent_ms: float = float('-inf')
 
-    def note(self, activity: Activity) -> None:
+    def add_activity(self, activity: Activity) -> None:
         """Record activity of the own zone.
 
         :param activity: activity of one gateway.
