--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -210,7 +210,7 @@
         """
         self._remove_silent_zones(self._clock.now_ms())
         reach = self.count_reached_zones(sessions)
-        self._relay.tell(sessions, reach=reach, whole=whole)
+        self._relay.send_if_relay(sessions, reach=reach, whole=whole)
 
     def _remove_silent_zones(self, now_ms: int) -> None:
         for zone, last_seen_ms in list(self._zone_seen_ms.items()):
--- a/wingfall/gateway/peers/loads/zone_relay.py
+++ b/wingfall/gateway/peers/loads/zone_relay.py
@@ -79,7 +79,7 @@
         """
         self._activity.add(activity)
 
-    def tell(
+    def send_if_relay(
         self,
         sessions: Collection[PeerSession],
         *,
