--- a/wingfall/gateway/peers/gateway_peers.py
+++ b/wingfall/gateway/peers/gateway_peers.py
@@ -172,7 +172,7 @@
 
     def leave(self) -> None:
         """Announce to the peers that this gateway is stopping."""
-        self._heartbeats.tell(leaving=True, whole=True)
+        self._heartbeats.send(leaving=True, whole=True)
 
     def tell_last_counts(self) -> None:
         """Send unreported usage counts to peers before the process ends."""
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -183,7 +183,7 @@
             due = HeartbeatDue.whole
         if due is not HeartbeatDue.none:
             self._schedule.note_sent(now_ms, due)
-            self.tell(
+            self.send(
                 leaving=self._is_stopping(),
                 whole=due is HeartbeatDue.whole,
             )
@@ -198,7 +198,7 @@
         updates = self._updates.wait(kind)
         self._send_updates(updates, list(self._sessions.values()))
 
-    def tell(self, *, leaving: bool, whole: bool) -> None:
+    def send(self, *, leaving: bool, whole: bool) -> None:
         """Send heartbeats: loads to peers of this zone, the rest to all.
 
         :param leaving: whether this gateway is stopping.
