--- a/wingfall/gateway/peers/gateway_peers.py
+++ b/wingfall/gateway/peers/gateway_peers.py
@@ -243,7 +243,7 @@
             log_event('peers', 'A peer is connected anew.', peer=session.name)
         self._update_bounds()
         log_event('peers', 'A peer is connected.', peer=session.name)
-        self._heartbeats.greet(session)
+        self._heartbeats.send_full_state(session)
         return session
 
     def _remove_session(self, session: PeerSession | None) -> None:
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -127,7 +127,7 @@
             PartsPage: transfer.record_page,
         }
 
-    def greet(self, session: PeerSession) -> None:
+    def send_full_state(self, session: PeerSession) -> None:
         """Send the full state of this gateway to a new peer.
 
         :param session: the session with the peer.
