--- a/tests/test_watch_duty.py
+++ b/tests/test_watch_duty.py
@@ -30,7 +30,7 @@
     return [
         rank
         for rank, duty in enumerate(duties)
-        if duty.holds(peers[:rank], now_ms)
+        if duty.should_watch(peers[:rank], now_ms)
     ]
 
 
@@ -66,4 +66,4 @@
 
 
 def test_gateway_that_hears_no_peer_watches():
-    assert WatchDuty().holds([], 0)
+    assert WatchDuty().should_watch([], 0)
--- a/wingfall/gateway/peers/peer_view.py
+++ b/wingfall/gateway/peers/peer_view.py
@@ -56,7 +56,7 @@
         """
         # Watchers send each second, however many gateways there are.
         before = self._preceding_peers(seen_within_ms(1))
-        return self._watch_duty.holds(before, self._clock.now_ms())
+        return self._watch_duty.should_watch(before, self._clock.now_ms())
 
     @property
     def leads(self) -> bool:
