--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -266,7 +266,7 @@
             replica=replica,
             clock=self._clock,
             holds_watch=lambda: self._peers.view.holds_watch,
-            leads=lambda: self._peers.view.leads,
+            leads=lambda: self._peers.view.is_among_first,
         )
 
     def _start_accepting(self) -> None:
--- a/wingfall/gateway/peers/peer_view.py
+++ b/wingfall/gateway/peers/peer_view.py
@@ -59,7 +59,7 @@
         return self._watch_duty.should_watch(before, self._clock.now_ms())
 
     @property
-    def leads(self) -> bool:
+    def is_among_first(self) -> bool:
         """Whether this gateway is among the first to retry a lost store."""
         within_ms = seen_within_ms(len(self._sessions))
         return len(self._preceding_peers(within_ms)) < WATCHERS
