--- a/wingfall/gateway/peers/peer_view.py
+++ b/wingfall/gateway/peers/peer_view.py
@@ -64,7 +64,7 @@
         within_ms = seen_within_ms(len(self._sessions))
         return len(self._preceding_peers(within_ms)) < WATCHERS
 
-    def look(self) -> Peering:
+    def snapshot(self) -> Peering:
         """Return a snapshot of the peers, for eligibility for the lease.
 
         :returns: preceding, connected and known peers, and whether a
