--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -161,7 +161,7 @@
         :param settings: the checked settings.
         """
         self._settings.limits = settings.limits
-        self._peers.learn(settings.peers.seeds)
+        self._peers.add_addresses(settings.peers.seeds)
         self._state.budget.set_bounds(
             settings.resend.ratio,
             settings.resend.slack,
--- a/wingfall/gateway/peers/gateway_peers.py
+++ b/wingfall/gateway/peers/gateway_peers.py
@@ -162,7 +162,7 @@
             self._supervisor.start(kind, body)
         self._supervisor.start('dials', self._dial_forever)
 
-    def learn(self, addresses: Iterable[str]) -> None:
+    def add_addresses(self, addresses: Iterable[str]) -> None:
         """Add addresses of gateways to connect to.
 
         :param addresses: ``host:port`` of other gateways.
@@ -233,7 +233,7 @@
             connection=connection,
             dialed=dialed,
         )
-        self.learn([message.address, *message.known])
+        self.add_addresses([message.address, *message.known])
         existing = self._sessions.get(session.name)
         if existing is not None and not session.replaces(existing, self._name):
             return None
