--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -198,7 +198,7 @@
         """Take no new work, and wait until what there is has ended."""
         log_event('gateway', 'Stopping.', calls=self._callers.active_calls)
         self._state.draining = True
-        self._peers.leave()
+        self._peers.announce_stop()
         schedule = StopSchedule(stop_s=self._settings.limits.stop_s)
         deadline_ms = self._clock.now_ms() + schedule.end_ms
         gevent.sleep(schedule.serve_ms / MS_PER_S)
--- a/wingfall/gateway/peers/gateway_peers.py
+++ b/wingfall/gateway/peers/gateway_peers.py
@@ -170,7 +170,7 @@
         self._addresses.add(addresses)
         self._update_bounds()
 
-    def leave(self) -> None:
+    def announce_stop(self) -> None:
         """Announce to the peers that this gateway is stopping."""
         self._heartbeats.send(leaving=True, whole=True)
 
