--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -206,7 +206,7 @@
         while not self._callers.is_empty and self._clock.now_ms() < deadline_ms:
             self._callers.close_idle_connections()
             gevent.sleep(_POLL_MS / MS_PER_S)
-        self._peers.tell_last_counts()
+        self._peers.send_final_counts()
         log_event('gateway', 'Stopped.', calls=self._callers.active_calls)
 
     def close(self) -> None:
--- a/wingfall/gateway/peers/gateway_peers.py
+++ b/wingfall/gateway/peers/gateway_peers.py
@@ -174,7 +174,7 @@
         """Announce to the peers that this gateway is stopping."""
         self._heartbeats.send(leaving=True, whole=True)
 
-    def tell_last_counts(self) -> None:
+    def send_final_counts(self) -> None:
         """Send unreported usage counts to peers before the process ends."""
         sessions = list(self._sessions.values())
         self._heartbeats.tell_duties(sessions, at_once=True)
