--- a/wingfall/gateway/peers/gateway_peers.py
+++ b/wingfall/gateway/peers/gateway_peers.py
@@ -278,7 +278,7 @@
         return GatewayHello(
             name=self._name,
             address=self._address,
-            known=self._addresses.name_some(),
+            known=self._addresses.sample(),
             zone=self._zone,
             incarnation=self._incarnation,
         )
--- a/wingfall/gateway/peers/peer_addresses.py
+++ b/wingfall/gateway/peers/peer_addresses.py
@@ -53,7 +53,7 @@
             if address != self._own:
                 self._failed_dials.setdefault(address, 0)
 
-    def name_some(self) -> list[str]:
+    def sample(self) -> list[str]:
         """Return a random sample of addresses for a hello.
 
         :returns: a bounded number of addresses.
