--- a/wingfall/gateway/peers/peer_addresses.py
+++ b/wingfall/gateway/peers/peer_addresses.py
@@ -61,7 +61,7 @@
         known = list(self._failed_dials)
         return random.sample(known, min(_MOST_NAMED, len(known)))
 
-    def choose_dials(self, connected: set[str]) -> list[str]:
+    def choose_dial_targets(self, connected: set[str]) -> list[str]:
         """Choose addresses to dial.
 
         The choice is random, so that two gateways rarely dial each other.
--- a/wingfall/gateway/peers/peer_dialer.py
+++ b/wingfall/gateway/peers/peer_dialer.py
@@ -59,7 +59,7 @@
         """
         while not self._supervisor.stopped:
             connected = set(self._connected())
-            for address in self._addresses.choose_dials(connected):
+            for address in self._addresses.choose_dial_targets(connected):
                 gevent.spawn(self._dial, address, on_removed)
             gevent.sleep(_DIAL_INTERVAL_MS / MS_PER_S)
 
