--- a/wingfall/gateway/peers/peer_addresses.py
+++ b/wingfall/gateway/peers/peer_addresses.py
@@ -96,7 +96,7 @@
         """
         self._failed_dials[address] = 0
 
-    def note_missed(self, address: str) -> bool:
+    def note_dial_failed(self, address: str) -> bool:
         """Record a failed dial.
 
         :param address: address that was dialed.
--- a/wingfall/gateway/peers/peer_dialer.py
+++ b/wingfall/gateway/peers/peer_dialer.py
@@ -81,7 +81,7 @@
                 (host, int(port)), _CONNECT_TIMEOUT_S
             )
         except OSError:
-            if self._addresses.note_missed(address):
+            if self._addresses.note_dial_failed(address):
                 on_removed()
             return
         self._addresses.note_reached(address)
