--- a/tests/test_object_exchange.py
+++ b/tests/test_object_exchange.py
@@ -178,7 +178,7 @@
     assert transfer.behind.replica.since(4)[0].spec == (
         long_store_reading(5).objects[0].spec
     )
-    assert not transfer.to_behind.outgoing
+    assert not transfer.to_behind.outgoing_transfers
 
 
 def test_transfer_that_moves_is_not_asked_for_elsewhere(
--- a/wingfall/gateway/peers/objects/object_exchange.py
+++ b/wingfall/gateway/peers/objects/object_exchange.py
@@ -201,11 +201,11 @@
         kind = fetch.kind
         if not fetch.offset:
             changed = replica.since(fetch.revision)
-            session.outgoing[kind] = OutgoingTransfer(
+            session.outgoing_transfers[kind] = OutgoingTransfer(
                 revision=replica.revision,
                 packed=self._pack(kind, changed),
             )
-        transfer = session.outgoing.get(kind)
+        transfer = session.outgoing_transfers.get(kind)
         if transfer is None:
             return
         chunk = transfer.chunk(fetch.offset, fetch.most)
@@ -218,7 +218,7 @@
         )
         session.connection.send(page)
         if fetch.offset + len(chunk) >= transfer.size:
-            session.outgoing.pop(kind)
+            session.outgoing_transfers.pop(kind)
 
     def _pack(self, kind: str, objects: Sequence[StoredObject]) -> bytes:
         # Many peers lack the same change, so it is packed only once.
--- a/wingfall/gateway/peers/peer_session.py
+++ b/wingfall/gateway/peers/peer_session.py
@@ -32,7 +32,7 @@
         'knows_caches',
         'leaving',
         'name',
-        'outgoing',
+        'outgoing_transfers',
         'reach',
         'signals_told_ms',
         'watching',
@@ -74,7 +74,7 @@
         # Number of other availability zones that the peer receives data from.
         self.reach = 0
         # Transfers of objects to the peer in progress, by kind.
-        self.outgoing: dict[str, OutgoingTransfer] = {}
+        self.outgoing_transfers: dict[str, OutgoingTransfer] = {}
         # Since when the peer has had a newer revision, by kind.
         self.behind_since_ms: dict[str, int] = {}
 
