--- a/tests/exchange_site.py
+++ b/tests/exchange_site.py
@@ -194,7 +194,7 @@
         for each in others:
             session = each.sessions[one.name]
             session.last_seen_ms = now_ms
-            session.reach = reach
+            session.reached_zones = reach
         loads = one.exchange.collect_loads(whole=whole)
         activity = one.exchange.collect_activity()
         sample_bytes = encoded_bytes(activity.readings)
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -246,7 +246,7 @@
         session.leaving = heartbeat.leaving
         session.watching = heartbeat.watching
         session.knows_caches = heartbeat.knows_caches
-        session.reach = heartbeat.reach
+        session.reached_zones = heartbeat.reach
         session.last_seen_ms = self._clock.now_ms()
         self._loads.merge_heartbeat(
             session,
--- a/wingfall/gateway/peers/loads/relay_choice.py
+++ b/wingfall/gateway/peers/loads/relay_choice.py
@@ -33,7 +33,7 @@
     ]
     return min(
         candidates,
-        key=lambda each: relay_rank(each.name, each.reach),
+        key=lambda each: relay_rank(each.name, each.reached_zones),
         default=None,
     )
 
--- a/wingfall/gateway/peers/loads/zone_relay.py
+++ b/wingfall/gateway/peers/loads/zone_relay.py
@@ -114,7 +114,7 @@
     def _update_relay(self, candidate: PeerSession | None, reach: int) -> None:
         own = relay_rank(self._name, reach)
         is_relay = candidate is None or own < relay_rank(
-            candidate.name, candidate.reach
+            candidate.name, candidate.reached_zones
         )
         if is_relay is not self._is_relay:
             self._is_relay = is_relay
--- a/wingfall/gateway/peers/peer_session.py
+++ b/wingfall/gateway/peers/peer_session.py
@@ -33,7 +33,7 @@
         'leaving',
         'name',
         'outgoing_transfers',
-        'reach',
+        'reached_zones',
         'signals_told_ms',
         'watching',
         'zone',
@@ -72,7 +72,7 @@
         # Revision up to which this gateway's counts were sent to the peer.
         self.counts_told = 0
         # Number of other availability zones that the peer receives data from.
-        self.reach = 0
+        self.reached_zones = 0
         # Transfers of objects to the peer in progress, by kind.
         self.outgoing_transfers: dict[str, OutgoingTransfer] = {}
         # Since when the peer has had a newer revision, by kind.
