--- a/wingfall/gateway/peers/duty_exchange.py
+++ b/wingfall/gateway/peers/duty_exchange.py
@@ -100,8 +100,8 @@
         for session in sessions:
             entries: list[Any] = []
             if session in recipients:
-                entries = self._counts.changes_since(session.counts_told)
-                session.counts_told = self._counts.revision
+                entries = self._counts.changes_since(session.counts_sent_revision)
+                session.counts_sent_revision = self._counts.revision
             if entries or reports_to_all:
                 yield session, self._encode(entries)
 
--- a/wingfall/gateway/peers/peer_session.py
+++ b/wingfall/gateway/peers/peer_session.py
@@ -23,7 +23,7 @@
         'address',
         'behind_since_ms',
         'connection',
-        'counts_told',
+        'counts_sent_revision',
         'crashes_told_ms',
         'dialed',
         'holds_lease',
@@ -70,7 +70,7 @@
         # Whether the peer reports that it holds the lease of the duties.
         self.holds_lease = False
         # Revision up to which this gateway's counts were sent to the peer.
-        self.counts_told = 0
+        self.counts_sent_revision = 0
         # Number of other availability zones that the peer receives data from.
         self.reached_zones = 0
         # Transfers of objects to the peer in progress, by kind.
