--- a/wingfall/gateway/peers/crash_exchange.py
+++ b/wingfall/gateway/peers/crash_exchange.py
@@ -112,11 +112,11 @@
         if not self._anti_entropy.is_due(
             peer_digest=peer_digest,
             own_digest=self._ledger.recent_sum,
-            resent_ms=session.crashes_told_ms,
+            resent_ms=session.crashes_resent_ms,
             sessions=sessions,
         ):
             return CrashUpdates()
-        session.crashes_told_ms = self._clock.now_ms()
+        session.crashes_resent_ms = self._clock.now_ms()
         return self._encode(self._ledger.recent(), self._ledger.served_ms)
 
     def forget(self, session: PeerSession) -> None:
--- a/wingfall/gateway/peers/peer_session.py
+++ b/wingfall/gateway/peers/peer_session.py
@@ -24,7 +24,7 @@
         'behind_since_ms',
         'connection',
         'counts_sent_revision',
-        'crashes_told_ms',
+        'crashes_resent_ms',
         'dialed',
         'holds_lease',
         'last_seen_ms',
@@ -64,7 +64,7 @@
         self.knows_caches = False
         self.last_seen_ms = 0
         # When crashes that the peer had missed were last resent to it.
-        self.crashes_told_ms: float = float('-inf')
+        self.crashes_resent_ms: float = float('-inf')
         # When signals of endpoints that it had missed were last resent.
         self.signals_told_ms: float = float('-inf')
         # Whether the peer reports that it holds the lease of the duties.
