--- a/wingfall/gateway/peers/peer_session.py
+++ b/wingfall/gateway/peers/peer_session.py
@@ -34,7 +34,7 @@
         'name',
         'outgoing_transfers',
         'reached_zones',
-        'signals_told_ms',
+        'signals_resent_ms',
         'watching',
         'zone',
     )
@@ -66,7 +66,7 @@
         # When crashes that the peer had missed were last resent to it.
         self.crashes_resent_ms: float = float('-inf')
         # When signals of endpoints that it had missed were last resent.
-        self.signals_told_ms: float = float('-inf')
+        self.signals_resent_ms: float = float('-inf')
         # Whether the peer reports that it holds the lease of the duties.
         self.holds_lease = False
         # Revision up to which this gateway's counts were sent to the peer.
--- a/wingfall/gateway/peers/signal_exchange.py
+++ b/wingfall/gateway/peers/signal_exchange.py
@@ -110,11 +110,11 @@
         if not self._anti_entropy.is_due(
             peer_digest=peer_digest,
             own_digest=own_digest,
-            resent_ms=session.signals_told_ms,
+            resent_ms=session.signals_resent_ms,
             sessions=sessions,
         ):
             return SignalUpdates()
-        session.signals_told_ms = self._clock.now_ms()
+        session.signals_resent_ms = self._clock.now_ms()
         return self._encode(self._signals.recent())
 
     def merge(self, updates: SignalUpdates) -> None:
