--- a/tests/test_usage_counts.py
+++ b/tests/test_usage_counts.py
@@ -112,10 +112,10 @@
     counts: UsageCounts, exchange: DutyExchange
 ):
     # Otherwise the holder would assume that pending windows are reported.
-    assert exchange.greet()[0] == 0
+    assert exchange.encode_state()[0] == 0
     assert counts.next_window == WINDOW
     counts.note_delivered(WINDOW - 4)
-    assert exchange.greet()[0] == WINDOW - 4
+    assert exchange.encode_state()[0] == WINDOW - 4
     assert counts.next_window == WINDOW - 3
 
 
--- a/wingfall/gateway/peers/duty_exchange.py
+++ b/wingfall/gateway/peers/duty_exchange.py
@@ -66,7 +66,7 @@
         # Last state sent to all peers: lease held, and progress of reports.
         self._sent_state = (False, 0)
 
-    def greet(self) -> list[Any]:
+    def encode_state(self) -> list[Any]:
         """Encode the state of this gateway without counts, for a new session.
 
         :returns: duties field of a heartbeat.
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -139,7 +139,7 @@
             loads=self._loads.encode_own_loads() if near else None,
             activity=self._loads.encode_known_speeds() if near else None,
             updates=self._updates.write_all(),
-            duties=self._duties.greet() if self._duties else None,
+            duties=self._duties.encode_state() if self._duties else None,
         )
         session.connection.send(heartbeat)
 
