--- a/tests/test_usage_counts.py
+++ b/tests/test_usage_counts.py
@@ -124,20 +124,20 @@
 ):
     sessions = [session(f'peer-{number}') for number in range(8)]
     counts.note('oslo', clock.now_ms())
-    sent = dict(exchange.due(sessions))
+    sent = dict(exchange.encode_due(sessions))
     assert len(sent) == 3
     assert {fields[3][0] for fields in sent.values()} == {(WINDOW, 'oslo', 1)}
     # At most once per second, and only after a change.
     counts.note('oslo', clock.now_ms())
-    assert not list(exchange.due(sessions))
+    assert not list(exchange.encode_due(sessions))
     clock.advance(1000)
-    assert len(list(exchange.due(sessions))) == 3
+    assert len(list(exchange.encode_due(sessions))) == 3
     clock.advance(1000)
-    assert not list(exchange.due(sessions))
+    assert not list(exchange.encode_due(sessions))
     first = next(iter(sent))
     restarted = session(first.name, incarnation=2)
     clock.advance(1000)
-    ((receiver, field),) = exchange.due([restarted])
+    ((receiver, field),) = exchange.encode_due([restarted])
     assert receiver is restarted
     assert field[3] == [(WINDOW, 'oslo', 2)]
 
@@ -147,12 +147,12 @@
 ):
     sessions = [session(f'peer-{number}') for number in range(8)]
     counts.note('oslo', clock.now_ms())
-    receivers = {peer.name for peer, _field in exchange.due(sessions)}
+    receivers = {peer.name for peer, _field in exchange.encode_due(sessions)}
     last = next(peer for peer in sessions if peer.name not in receivers)
     exchange.take(last, [WINDOW - 1, True, clock.now_ms(), []])
     clock.advance(1000)
     counts.note('oslo', clock.now_ms())
-    receivers = {peer.name for peer, _field in exchange.due(sessions)}
+    receivers = {peer.name for peer, _field in exchange.encode_due(sessions)}
     assert last.name in receivers
     assert len(receivers) == 4
 
--- a/wingfall/gateway/peers/duty_exchange.py
+++ b/wingfall/gateway/peers/duty_exchange.py
@@ -73,7 +73,7 @@
         """
         return self._encode([])
 
-    def due(
+    def encode_due(
         self,
         sessions: Collection[PeerSession],
         *,
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -234,7 +234,7 @@
         """
         if self._duties is None:
             return
-        for session, entries in self._duties.due(sessions, at_once=at_once):
+        for session, entries in self._duties.encode_due(sessions, at_once=at_once):
             heartbeat = self._writer.write(
                 leaving=self._is_stopping(), whole=False, duties=entries
             )
