--- a/tests/test_usage_counts.py
+++ b/tests/test_usage_counts.py
@@ -149,7 +149,7 @@
     counts.note('oslo', clock.now_ms())
     receivers = {peer.name for peer, _field in exchange.encode_due(sessions)}
     last = next(peer for peer in sessions if peer.name not in receivers)
-    exchange.take(last, [WINDOW - 1, True, clock.now_ms(), []])
+    exchange.merge_report(last, [WINDOW - 1, True, clock.now_ms(), []])
     clock.advance(1000)
     counts.note('oslo', clock.now_ms())
     receivers = {peer.name for peer, _field in exchange.encode_due(sessions)}
@@ -171,8 +171,8 @@
         [[WINDOW, 'oslo', 3]],
     ]
     # A later version may report more fields.
-    exchange.take(peer, [*report, 'more'])
-    exchange.take(peer, [])
+    exchange.merge_report(peer, [*report, 'more'])
+    exchange.merge_report(peer, [])
     assert counts.window_totals(WINDOW) == {'oslo': 3}
     assert true_time.now_ms() == clock.now_ms() + 20
     exchange.forget(peer)
--- a/wingfall/gateway/peers/duty_exchange.py
+++ b/wingfall/gateway/peers/duty_exchange.py
@@ -105,7 +105,7 @@
             if entries or reports_to_all:
                 yield session, self._encode(entries)
 
-    def take(self, session: PeerSession, report: list[Any]) -> None:
+    def merge_report(self, session: PeerSession, report: list[Any]) -> None:
         """Merge a report of a peer.
 
         :param session: session with the peer.
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -263,7 +263,7 @@
         missed = self._updates.merge(session, heartbeat, len(self._sessions))
         self._send_updates(missed, [session])
         if self._duties is not None and heartbeat.duties:
-            self._duties.take(session, heartbeat.duties)
+            self._duties.merge_report(session, heartbeat.duties)
         for kind, revision in heartbeat.revisions.items():
             self._exchange.check_revision(session, kind, revision)
 
