--- a/tests/peer_standin.py
+++ b/tests/peer_standin.py
@@ -54,7 +54,7 @@
             bandwidth=bandwidth,
         )
 
-    def learn(self, revision: int, spec: dict[str, Any]) -> None:
+    def apply_configuration(self, revision: int, spec: dict[str, Any]) -> None:
         """Apply a configuration as if read from the store.
 
         :param revision: revision of the store.
--- a/tests/test_configuration_over_slow_links.py
+++ b/tests/test_configuration_over_slow_links.py
@@ -64,7 +64,7 @@
         for number in range(PEERS)
     ]
     for peer in peers:
-        peer.learn(10, {'version': 1, 'routes': [], 'services': []})
+        peer.apply_configuration(10, {'version': 1, 'routes': [], 'services': []})
     yield peers
     for peer in peers:
         peer.stop()
@@ -87,10 +87,10 @@
     wait_until(lambda: gateway.status()['config'] == 1)
     before_bytes, began_s = link.passed_bytes, time.monotonic()
     for peer in peers:
-        peer.learn(20, LONG)
+        peer.apply_configuration(20, LONG)
     wait_until(lambda: gateway.status()['config'] == 2)
     for peer in peers:
-        peer.learn(21, {**LONG, 'version': 3})
+        peer.apply_configuration(21, {**LONG, 'version': 3})
     wait_until(lambda: gateway.status()['config'] == 3)
     # Two transfers, and as much again for questions, heartbeats and chance.
     assert time.monotonic() - began_s < 4 * LINK_S
