--- a/tests/peer_standin.py
+++ b/tests/peer_standin.py
@@ -46,7 +46,7 @@
             clock=WallClock(),
             zone=ZONE,
         )
-        self.sessions = 0
+        self.session_count = 0
         self._server = StreamServer((HOST, 0), self._accept)
         self._server.start()
         self.link = Link(
@@ -90,7 +90,7 @@
         for message in connection.receive():
             if isinstance(message, GatewayHello):
                 session = PeerSession(hello=message, connection=connection)
-                self.sessions += 1
+                self.session_count += 1
             elif isinstance(message, ObjectsFetch) and session is not None:
                 self._exchange.send_objects(session, message)
 
--- a/tests/test_configuration_over_slow_links.py
+++ b/tests/test_configuration_over_slow_links.py
@@ -96,4 +96,4 @@
     assert time.monotonic() - began_s < 4 * LINK_S
     assert link.passed_bytes - before_bytes < 4 * LONG_BYTES
     # No session was cut off on the way.
-    assert all(peer.sessions == 1 for peer in peers)
+    assert all(peer.session_count == 1 for peer in peers)
