--- a/tests/test_held_calls.py
+++ b/tests/test_held_calls.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from wingfall.gateway.rules.admission.held_calls import HeldCalls, Opening
+from wingfall.gateway.rules.admission.held_calls import HeldCalls, AdmissionSlots
 
 POOL = 'engines'
-SLOTS = Opening(first_ms=300, interval_ms=500)
+SLOTS = AdmissionSlots(first_ms=300, interval_ms=500)
 
 
 def test_each_is_told_a_time_of_its_own():
--- a/wingfall/gateway/calls/held_pool.py
+++ b/wingfall/gateway/calls/held_pool.py
@@ -9,7 +9,7 @@
 from wingfall.gateway.calls.attempt_outcome import AttemptOutcome
 from wingfall.gateway.model.attempt_end import AttemptEnd
 from wingfall.gateway.model.held import Held
-from wingfall.gateway.rules.admission.held_calls import Opening
+from wingfall.gateway.rules.admission.held_calls import AdmissionSlots
 from wingfall.gateway.rules.admission.refusals import refuse_held
 from wingfall.log import log_event
 
@@ -108,10 +108,10 @@
     ]
 
 
-def _describe_slots(state: GatewayState, withheld: list[str]) -> Opening:
+def _describe_slots(state: GatewayState, withheld: list[str]) -> AdmissionSlots:
     gate = state.gate
     rate = sum(gate.rate_of_all(name) for name in withheld)
     interval_ms = MS_PER_S * len(gate.gateways) / rate
     # Capacity that is free now is reserved for a more urgent call.
     first_ms = min(gate.opens_in_ms(name) for name in withheld) or interval_ms
-    return Opening(first_ms=first_ms, interval_ms=interval_ms)
+    return AdmissionSlots(first_ms=first_ms, interval_ms=interval_ms)
--- a/wingfall/gateway/rules/admission/held_calls.py
+++ b/wingfall/gateway/rules/admission/held_calls.py
@@ -21,7 +21,7 @@
 
 
 @final
-class Opening:
+class AdmissionSlots:
     """Times at which a pool with no free endpoint admits requests again."""
 
     __slots__ = ('interval_ms', 'first_ms')
@@ -67,7 +67,7 @@
             if reserved_tier < tier
         )
 
-    def defer(self, pool: str, tier: int, slots: Opening, now_ms: int) -> int:
+    def defer(self, pool: str, tier: int, slots: AdmissionSlots, now_ms: int) -> int:
         """Defer a call and assign its retry time.
 
         :param pool: name of its pool.
