--- a/tests/test_held_calls.py
+++ b/tests/test_held_calls.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from wingfall.gateway.rules.admission.held_calls import HeldCalls, AdmissionSlots
+from wingfall.gateway.rules.admission.held_calls import DeferredCalls, AdmissionSlots
 
 POOL = 'engines'
 SLOTS = AdmissionSlots(first_ms=300, interval_ms=500)
 
 
 def test_each_is_told_a_time_of_its_own():
-    deferred = HeldCalls()
+    deferred = DeferredCalls()
     delays_ms = [deferred.defer(POOL, 0, SLOTS, 1000) for _call in range(4)]
     assert delays_ms == [300, 800, 1300, 1800]
     # Half a second later the first two slots have passed.
@@ -17,20 +17,20 @@
 
 
 def test_pools_are_told_apart():
-    deferred = HeldCalls()
+    deferred = DeferredCalls()
     deferred.defer(POOL, 0, SLOTS, 1000)
     assert deferred.defer('plain', 0, SLOTS, 1000) == 300
 
 
 def test_crowd_does_not_turn_callers_away_for_long():
-    deferred = HeldCalls()
+    deferred = DeferredCalls()
     delays_ms = [deferred.defer(POOL, 0, SLOTS, 1000) for _call in range(1000)]
     assert max(delays_ms) <= 10_300
     assert deferred.defer(POOL, 0, SLOTS, 30_000) == 300
 
 
 def test_what_is_free_is_kept_for_a_more_urgent_tier():
-    deferred = HeldCalls()
+    deferred = DeferredCalls()
     deferred.defer(POOL, 1, SLOTS, 1000)
     assert deferred.must_yield(POOL, 2, 1001)
     assert not deferred.must_yield(POOL, 1, 1001)
--- a/wingfall/gateway/rules/admission/held_calls.py
+++ b/wingfall/gateway/rules/admission/held_calls.py
@@ -38,7 +38,7 @@
 
 
 @final
-class HeldCalls:
+class DeferredCalls:
     """Retry times assigned to deferred calls, by pool."""
 
     __slots__ = ('_reserved_until_ms', '_unassigned_slot_ms')
