--- a/wingfall/gateway/rules/crashes/request_blocks.py
+++ b/wingfall/gateway/rules/crashes/request_blocks.py
@@ -38,7 +38,7 @@
 
 
 @final
-class Block:
+class RequestBlock:
     """The reason why a request is not sent to an endpoint."""
 
     __slots__ = ('evidence', 'retry_after_ms')
@@ -97,7 +97,7 @@
         """
         self._gateways = {self._name, *names}
 
-    def find_block(self, fingerprint: Fingerprint) -> Block | None:
+    def find_block(self, fingerprint: Fingerprint) -> RequestBlock | None:
         """Return the block of a request.
 
         :param fingerprint: the request.
@@ -109,7 +109,7 @@
         wait_ms = self._trial_wait_ms(fingerprint, evidence)
         if wait_ms == 0:
             return None
-        return Block(
+        return RequestBlock(
             evidence=evidence, retry_after_ms=wait_ms or _NO_TRIAL_RETRY_MS
         )
 
