--- a/tests/test_rate_share.py
+++ b/tests/test_rate_share.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies
 
 from tests.rate_world import ENDPOINT, RateWorld
-from wingfall.gateway.rules.pacing.pace import Pace
+from wingfall.gateway.rules.pacing.pace import TokenBucket
 from wingfall.gateway.rules.pacing.rate_share import (
     ShareTerms,
     share_among_few,
@@ -44,14 +44,14 @@
 @pytest.mark.parametrize('rate', RATES)
 def test_first_requests_of_all_are_within_the_bound(rate: float, count: int):
     # The burst of each gateway, at least one request, and then the rate.
-    buckets = [Pace(rate=share, now_ms=0) for share in list_shares(rate, count)]
+    buckets = [TokenBucket(rate=share, now_ms=0) for share in list_shares(rate, count)]
     burst = sum(each.take(60_000) for each in buckets for _call in range(100))
     assert burst + 4 * rate <= max_requests(rate)
 
 
 def test_equal_parts_let_first_requests_pass_the_bound():
     buckets = [
-        Pace(rate=share, now_ms=0)
+        TokenBucket(rate=share, now_ms=0)
         for share in list_shares(1, 298, share_equally)
     ]
     burst = sum(bucket.take(600_000) for bucket in buckets)
@@ -95,7 +95,7 @@
 
 @pytest.mark.parametrize('rate', RATES)
 def test_pace_is_a_rate_and_not_a_burst(rate: float):
-    bucket = Pace(rate=rate, now_ms=0)
+    bucket = TokenBucket(rate=rate, now_ms=0)
     # Burst after a minute without requests.
     sent = sum(bucket.take(60_000) for _call in range(1000))
     assert sent + 4 * rate <= max_requests(rate)
@@ -104,7 +104,7 @@
 
 
 def test_pace_starts_with_nothing_saved_up():
-    bucket = Pace(rate=2, now_ms=0)
+    bucket = TokenBucket(rate=2, now_ms=0)
     assert not bucket.take(0)
     assert bucket.ready_in_ms(0) == 500
     assert bucket.take(500)
--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -12,7 +12,7 @@
 
 from wingfall.clock import MS_PER_S
 from wingfall.gateway.model.held import Held
-from wingfall.gateway.rules.pacing.pace import Pace
+from wingfall.gateway.rules.pacing.pace import TokenBucket
 from wingfall.gateway.rules.pacing.rate_share import ShareTerms
 from wingfall.gateway.rules.pacing.rest_return import (
     RETURN_RATE,
@@ -79,7 +79,7 @@
         self._gateway_count = 1
         # When gateways disconnected that had not announced a stop.
         self._silent_since_ms: dict[str, int] = {}
-        self._token_buckets: dict[str, Pace] = {}
+        self._token_buckets: dict[str, TokenBucket] = {}
         self._ramp_ups: dict[str, RestReturn] = {}
         # Limit and share of this gateway by endpoint, cleared whenever the set
         # of gateways changes.
@@ -239,7 +239,7 @@
             if limit.rate is not None
         ]
 
-    def _token_bucket(self, endpoint: str) -> Pace | None:
+    def _token_bucket(self, endpoint: str) -> TokenBucket | None:
         limit = self._signals.limits.get(endpoint)
         if limit is None:
             return None
@@ -251,7 +251,7 @@
             )
         share = self._share(endpoint, limit.rate)
         if bucket is None:
-            bucket = Pace(rate=share, now_ms=now_ms)
+            bucket = TokenBucket(rate=share, now_ms=now_ms)
             self._token_buckets[endpoint] = bucket
         bucket.update_rate(share, now_ms)
         return bucket
--- a/wingfall/gateway/rules/pacing/pace.py
+++ b/wingfall/gateway/rules/pacing/pace.py
@@ -14,7 +14,7 @@
 
 
 @final
-class Pace:
+class TokenBucket:
     """A token bucket with one token per request."""
 
     __slots__ = ('_refilled_ms', '_tokens', '_rate')
--- a/wingfall/gateway/rules/pacing/rest_return.py
+++ b/wingfall/gateway/rules/pacing/rest_return.py
@@ -10,7 +10,7 @@
 from typing import Final, final
 
 from wingfall.clock import MS_PER_S
-from wingfall.gateway.rules.pacing.pace import Pace
+from wingfall.gateway.rules.pacing.pace import TokenBucket
 
 # Milliseconds after the end of a rest over which the gateways' first requests
 # are spread.
@@ -51,7 +51,7 @@
         # Time at which the first request may be sent.
         self.start_ms = until_ms + int(jitter * _MAX_JITTER_MS)
         refill_start_ms = self.start_ms - MS_PER_S // RETURN_RATE
-        self._bucket = Pace(rate=RETURN_RATE, now_ms=refill_start_ms)
+        self._bucket = TokenBucket(rate=RETURN_RATE, now_ms=refill_start_ms)
 
     def is_over(self, now_ms: int) -> bool:
         """Check if the ramp-up has ended.
