--- a/wingfall/gateway/calls/attempt.py
+++ b/wingfall/gateway/calls/attempt.py
@@ -16,7 +16,7 @@
 from wingfall.gateway.calls.attempt_outcome import (
     AttemptLimits,
     AttemptOutcome,
-    WholeAnswer,
+    BufferedAnswer,
 )
 from wingfall.gateway.endpoints.endpoint_connection import (
     AnswerBrokenError,
@@ -190,7 +190,7 @@
             if size > _MAX_ANSWER_BYTES:
                 raise AnswerBrokenError('the answer is too large')
         self._release_connection()
-        answer = WholeAnswer(
+        answer = BufferedAnswer(
             status=response.status_code,
             headers=self._binding.caller_headers(response.headers.raw_items()),
             body=b''.join(chunks),
--- a/wingfall/gateway/calls/attempt_outcome.py
+++ b/wingfall/gateway/calls/attempt_outcome.py
@@ -15,7 +15,7 @@
 
 
 @final
-class WholeAnswer:
+class BufferedAnswer:
     """A complete answer, buffered in memory."""
 
     __slots__ = ('body', 'headers', 'status')
@@ -42,7 +42,7 @@
         self,
         *,
         end: AttemptEnd,
-        answer: WholeAnswer | None = None,
+        answer: BufferedAnswer | None = None,
         reason: str = '',
         is_abandoned: bool = False,
     ) -> None:
--- a/wingfall/gateway/calls/dispatcher.py
+++ b/wingfall/gateway/calls/dispatcher.py
@@ -17,7 +17,7 @@
 from wingfall.gateway.calls.attempt_outcome import (
     AttemptLimits,
     AttemptOutcome,
-    WholeAnswer,
+    BufferedAnswer,
 )
 from wingfall.gateway.calls.attempt_tracker import AttemptTracker
 from wingfall.gateway.calls.destination import choose_destination
@@ -98,7 +98,7 @@
         # Whether the call has waited for the prefill of a shared part.
         self._has_waited = False
         # The last whole answer that reports a failed run.
-        self._failed_answer: WholeAnswer | None = None
+        self._failed_answer: BufferedAnswer | None = None
         # Where an interrupted stream continues as the same run.
         self._continuation: Destination | None = None
 
@@ -234,7 +234,7 @@
         else:
             self._send_whole(outcome.answer)
 
-    def _send_whole(self, answer: WholeAnswer) -> None:
+    def _send_whole(self, answer: BufferedAnswer) -> None:
         self._reply.send_answer(answer.status, answer.headers, answer.body)
 
     def _record_failure(
