--- a/tests/test_memory_survey.py
+++ b/tests/test_memory_survey.py
@@ -9,7 +9,7 @@
 from tests.gateway_site import GatewaySite, caches_part
 from tests.local_site import wait_until
 from wingfall.gateway.application import GatewayApplication
-from wingfall.gateway.knowledge.prefix_caches import RECENT_PARTS, PrefixCaches
+from wingfall.gateway.knowledge.prefix_caches import MAX_REPORTED_PARTS, PrefixCaches
 from wingfall.gateway.model.prompt import PromptPart
 from wingfall.platform.documents import read_memory
 
@@ -50,12 +50,12 @@
     caches = PrefixCaches()
     parts = tuple(
         PromptPart(part_id=f'p{number}', tokens=1)
-        for number in range(RECENT_PARTS + 10)
+        for number in range(MAX_REPORTED_PARTS + 10)
     )
     caches.note_cached('e1', parts)
     (report,) = caches.take_unsent()
     assert report.endpoint == 'e1'
-    assert report.parts == parts[-RECENT_PARTS:]
+    assert report.parts == parts[-MAX_REPORTED_PARTS:]
     assert caches.find('e1').cached_tokens(parts) == len(parts)
 
 
--- a/wingfall/gateway/knowledge/prefix_caches.py
+++ b/wingfall/gateway/knowledge/prefix_caches.py
@@ -14,7 +14,7 @@
     from wingfall.gateway.model.prompt import Prompt, PromptPart
 
 # Maximum number of parts of one engine in a report to peers.
-RECENT_PARTS: Final = 300
+MAX_REPORTED_PARTS: Final = 300
 
 
 @final
@@ -122,7 +122,7 @@
         :param parts: prompt parts that the engine caches.
         """
         self.find(endpoint).note(parts)
-        reported = parts[-RECENT_PARTS:]
+        reported = parts[-MAX_REPORTED_PARTS:]
         self.unsent.append(
             SentPrompt(endpoint=endpoint, parts=reported, uncached_tokens=0)
         )
