--- a/tests/test_gateway_requests.py
+++ b/tests/test_gateway_requests.py
@@ -127,7 +127,7 @@
     assert all_run_ids(plain_site) == ['r1']
 
 
-def test_refusal_tells_when_to_come_back(plain_site: GatewaySite):
+def test_refusal_has_a_retry_after_header(plain_site: GatewaySite):
     set_faults(plain_site, 'shed', times=2)
     answer = plain_site.ask('/unsafe/x', method='POST', X_Deadline_Ms='900')
     assert answer.status == 503
