--- a/tests/gateway_site.py
+++ b/tests/gateway_site.py
@@ -22,7 +22,7 @@
 from wingfall.settings.loader import parse_settings
 
 HOST: Final = '127.0.0.1'
-KEY: Final = 'key-of-oslo'
+API_KEY: Final = 'key-of-oslo'
 _MAX_READ_BYTES: Final = 65_536
 _TIMEOUT_S: Final = 15
 
@@ -60,7 +60,7 @@
         self._has_sent = True
         all_headers = {
             'Host': 'site.example',
-            'Authorization': f'Token {KEY}',
+            'Authorization': f'Token {API_KEY}',
             'X-Attempt-Id': 'a1',
             **{name.replace('_', '-'): text for name, text in headers.items()},
         }
@@ -144,7 +144,7 @@
                 'header_timeout_ms': 3000,
                 'idle_timeout_ms': 15_000,
             },
-            'tenants': [{'name': 'oslo', 'api_keys': [KEY], 'priority': 1}],
+            'tenants': [{'name': 'oslo', 'api_keys': [API_KEY], 'priority': 1}],
         }
         self.write_config()
 
--- a/tests/test_gateway_requests.py
+++ b/tests/test_gateway_requests.py
@@ -5,7 +5,7 @@
 import gevent
 import pytest
 
-from tests.gateway_site import KEY, GatewaySite, known_endpoints
+from tests.gateway_site import API_KEY, GatewaySite, known_endpoints
 from tests.local_site import wait_until
 
 # Faults of an endpoint that make its answer unusable.
@@ -208,8 +208,8 @@
     [
         ('/safe/x', 'unknown', 401),
         ('/safe/x', '', 401),
-        ('/none/x', KEY, 404),
-        ('/saf', KEY, 404),
+        ('/none/x', API_KEY, 404),
+        ('/saf', API_KEY, 404),
     ],
 )
 def test_what_the_configuration_does_not_allow(
