--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -10,7 +10,7 @@
 
 from tests.local_site import wait_until
 from wingfall.clock import ManualClock
-from wingfall.gateway.endpoints.crash_watch import CrashWatch
+from wingfall.gateway.endpoints.crash_watch import CrashDetector
 from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
 from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 from wingfall.metrics import Metrics
@@ -25,9 +25,9 @@
 
 
 @pytest.fixture
-def watch(clock: ManualClock, knowledge: EndpointKnowledge) -> CrashWatch:
+def watch(clock: ManualClock, knowledge: EndpointKnowledge) -> CrashDetector:
     """Return a crash detector without broken requests."""
-    return CrashWatch(
+    return CrashDetector(
         name='g1', clock=clock, knowledge=knowledge, metrics=Metrics()
     )
 
@@ -55,7 +55,7 @@
 
 
 def test_all_requests_at_a_crash_are_noted(
-    watch: CrashWatch, knowledge: EndpointKnowledge, listener: socket.socket
+    watch: CrashDetector, knowledge: EndpointKnowledge, listener: socket.socket
 ):
     endpoint = endpoint_at(listener)
     listener.close()
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize('linger_s', [None, 0], ids=['closes', 'resets'])
 def test_endpoint_that_closes_connections_at_once_has_crashed(
-    watch: CrashWatch,
+    watch: CrashDetector,
     knowledge: EndpointKnowledge,
     listener: socket.socket,
     linger_s: int | None,
@@ -94,7 +94,7 @@
 
 
 def test_lost_answer_is_no_crash(
-    watch: CrashWatch, knowledge: EndpointKnowledge, listener: socket.socket
+    watch: CrashDetector, knowledge: EndpointKnowledge, listener: socket.socket
 ):
     watch.note_broken(endpoint_at(listener), b'r', None)
     gevent.sleep(CHECK_DONE_S)
@@ -102,7 +102,7 @@
 
 
 def test_endpoint_that_left_by_plan_has_not_crashed(
-    watch: CrashWatch, knowledge: EndpointKnowledge, listener: socket.socket
+    watch: CrashDetector, knowledge: EndpointKnowledge, listener: socket.socket
 ):
     endpoint = endpoint_at(listener, draining=True)
     knowledge.table.put(endpoint)
@@ -113,7 +113,7 @@
 
 
 def test_endpoint_that_has_started_again_has_crashed(
-    watch: CrashWatch, knowledge: EndpointKnowledge, listener: socket.socket
+    watch: CrashDetector, knowledge: EndpointKnowledge, listener: socket.socket
 ):
     former = endpoint_at(listener, instance='e', born_ms=1)
     knowledge.lives.note(endpoint_at(listener, instance='e', born_ms=2))
@@ -122,7 +122,7 @@
 
 
 def test_request_that_was_given_up_there_is_a_suspect(
-    watch: CrashWatch,
+    watch: CrashDetector,
     knowledge: EndpointKnowledge,
     listener: socket.socket,
     clock: ManualClock,
--- a/wingfall/gateway/endpoints/crash_watch.py
+++ b/wingfall/gateway/endpoints/crash_watch.py
@@ -54,7 +54,7 @@
 
 
 @final
-class CrashWatch:
+class CrashDetector:
     """Collects broken requests and checks their endpoints for a crash."""
 
     __slots__ = (
--- a/wingfall/gateway/state.py
+++ b/wingfall/gateway/state.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from wingfall.clock import Clock
-    from wingfall.gateway.endpoints.crash_watch import CrashWatch
+    from wingfall.gateway.endpoints.crash_watch import CrashDetector
     from wingfall.gateway.endpoints.kept_connections import KeptConnections
     from wingfall.gateway.endpoints.sending_gate import SendingGate
     from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
@@ -62,7 +62,7 @@
         knowledge: EndpointKnowledge,
         connections: KeptConnections,
         blocks: RequestBlocks,
-        crash_watch: CrashWatch,
+        crash_watch: CrashDetector,
         gate: SendingGate,
     ) -> None:
         """Join the parts; there is no configuration yet.
