--- a/wingfall/gateway/peers/loads/load_entries.py
+++ b/wingfall/gateway/peers/loads/load_entries.py
@@ -19,7 +19,7 @@
     from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
     from wingfall.gateway.knowledge.prefix_caches import SentPrompt
 
-Work: TypeAlias = tuple[int, ...]
+EncodedLoad: TypeAlias = tuple[int, ...]
 
 
 @final
@@ -75,7 +75,7 @@
         self.gaps.extend(other.gaps)
 
 
-def write_work(load: EndpointLoad) -> Work:
+def write_work(load: EndpointLoad) -> EncodedLoad:
     """Encode the load of an endpoint.
 
     :param load: the load.
--- a/wingfall/gateway/peers/loads/zone_relay.py
+++ b/wingfall/gateway/peers/loads/zone_relay.py
@@ -15,7 +15,7 @@
 from wingfall.gateway.peers.loads.load_entries import (
     IDLE,
     Activity,
-    Work,
+    EncodedLoad,
     write_work,
 )
 from wingfall.gateway.peers.loads.relay_choice import find_relay, relay_rank
@@ -67,7 +67,7 @@
         # Activity that is not yet reported to other zones.
         self._activity = Activity()
         # Load last reported to other zones, None without a report.
-        self._reported_work: dict[str, Work] | None = None
+        self._reported_work: dict[str, EncodedLoad] | None = None
         # Whether this gateway is the relay, None before the first choice.
         self._is_relay: bool | None = None
         self._last_sent_ms: float = float('-inf')
@@ -170,9 +170,9 @@
 
 
 def _find_changes(
-    known: dict[str, Work],
-    work: dict[str, Work],
-) -> dict[str, Work]:
+    known: dict[str, EncodedLoad],
+    work: dict[str, EncodedLoad],
+) -> dict[str, EncodedLoad]:
     ended = dict.fromkeys(known.keys() - work.keys(), IDLE)
     return {
         name: each
