--- a/wingfall/gateway/peers/loads/load_entries.py
+++ b/wingfall/gateway/peers/loads/load_entries.py
@@ -90,7 +90,7 @@
     )
 
 
-IDLE: Final = write_work(EndpointLoad())
+IDLE_LOAD: Final = write_work(EndpointLoad())
 
 
 def write_loads(loads: dict[str, EndpointLoad]) -> list[list[Any]]:
--- a/wingfall/gateway/peers/loads/zone_relay.py
+++ b/wingfall/gateway/peers/loads/zone_relay.py
@@ -13,7 +13,7 @@
     seen_within_ms,
 )
 from wingfall.gateway.peers.loads.load_entries import (
-    IDLE,
+    IDLE_LOAD,
     Activity,
     EncodedLoad,
     write_work,
@@ -173,7 +173,7 @@
     known: dict[str, EncodedLoad],
     work: dict[str, EncodedLoad],
 ) -> dict[str, EncodedLoad]:
-    ended = dict.fromkeys(known.keys() - work.keys(), IDLE)
+    ended = dict.fromkeys(known.keys() - work.keys(), IDLE_LOAD)
     return {
         name: each
         for name, each in {**work, **ended}.items()
