--- a/tests/test_gateway_load.py
+++ b/tests/test_gateway_load.py
@@ -15,7 +15,7 @@
 from wingfall.gateway.peers.loads.load_entries import (
     read_loads,
     write_loads,
-    write_work,
+    encode_load,
 )
 
 # How long a lapsed entry is still used.
@@ -133,7 +133,7 @@
     )
     ((name, read),) = read_loads(write_loads({'one': load}))
     assert name == 'one'
-    assert write_work(read) == write_work(load)
+    assert encode_load(read) == encode_load(load)
     assert read.streams == load.streams
 
 
--- a/wingfall/gateway/peers/loads/load_entries.py
+++ b/wingfall/gateway/peers/loads/load_entries.py
@@ -75,7 +75,7 @@
         self.gaps.extend(other.gaps)
 
 
-def write_work(load: EndpointLoad) -> EncodedLoad:
+def encode_load(load: EndpointLoad) -> EncodedLoad:
     """Encode the load of an endpoint.
 
     :param load: the load.
@@ -90,7 +90,7 @@
     )
 
 
-IDLE_LOAD: Final = write_work(EndpointLoad())
+IDLE_LOAD: Final = encode_load(EndpointLoad())
 
 
 def write_loads(loads: dict[str, EndpointLoad]) -> list[list[Any]]:
@@ -99,7 +99,7 @@
     :param loads: load of each endpoint.
     :returns: an entry for each endpoint, starting with its name.
     """
-    return [[name, *write_work(load)] for name, load in loads.items()]
+    return [[name, *encode_load(load)] for name, load in loads.items()]
 
 
 def write_sent(sent: SentPrompt) -> list[Any]:
--- a/wingfall/gateway/peers/loads/zone_relay.py
+++ b/wingfall/gateway/peers/loads/zone_relay.py
@@ -16,7 +16,7 @@
     IDLE_LOAD,
     Activity,
     EncodedLoad,
-    write_work,
+    encode_load,
 )
 from wingfall.gateway.peers.loads.relay_choice import find_relay, relay_rank
 from wingfall.log import log_event
@@ -147,7 +147,7 @@
         whole: bool,
     ) -> ZoneLoads | None:
         zone_totals = self._load.sum_with(each.name for each in near)
-        work = {name: write_work(load) for name, load in zone_totals.items()}
+        work = {name: encode_load(load) for name, load in zone_totals.items()}
         whole = whole or self._reported_work is None
         loads = (
             work if whole else _find_changes(self._reported_work or {}, work)
