--- a/wingfall/gateway/peers/loads/load_entries.py
+++ b/wingfall/gateway/peers/loads/load_entries.py
@@ -93,7 +93,7 @@
 IDLE_LOAD: Final = encode_load(EndpointLoad())
 
 
-def write_loads(loads: dict[str, EndpointLoad]) -> list[list[Any]]:
+def encode_loads(loads: dict[str, EndpointLoad]) -> list[list[Any]]:
     """Encode loads by endpoint.
 
     :param loads: load of each endpoint.
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -16,7 +16,7 @@
     note_activity,
     only_seen,
     read_loads,
-    write_loads,
+    encode_loads,
     write_outcomes,
     write_sent,
 )
@@ -100,7 +100,7 @@
 
         :returns: the entries of a heartbeat.
         """
-        return write_loads(self._knowledge.load.own)
+        return encode_loads(self._knowledge.load.own)
 
     def encode_known_speeds(self) -> Activity:
         """Encode the known prefill rates and token gaps for a new gateway.
@@ -119,7 +119,7 @@
         :returns: the entries of a heartbeat.
         """
         changed = self._knowledge.load.take_unreported()
-        return self.encode_own_loads() if whole else write_loads(changed)
+        return self.encode_own_loads() if whole else encode_loads(changed)
 
     def collect_activity(self) -> Activity:
         """Encode the activity since the last report.
