--- a/wingfall/gateway/peers/loads/load_entries.py
+++ b/wingfall/gateway/peers/loads/load_entries.py
@@ -102,7 +102,7 @@
     return [[name, *encode_load(load)] for name, load in loads.items()]
 
 
-def write_sent(sent: SentPrompt) -> list[Any]:
+def encode_sent_prompt(sent: SentPrompt) -> list[Any]:
     """Encode a sent prompt.
 
     :param sent: the prompt and its endpoint.
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -18,7 +18,7 @@
     read_loads,
     encode_loads,
     write_outcomes,
-    write_sent,
+    encode_sent_prompt,
 )
 from wingfall.gateway.peers.loads.zone_relay import ZoneRelay
 from wingfall.log import log_event
@@ -129,7 +129,7 @@
         sent = self._knowledge.caches.take_unsent()
         outcomes = self._knowledge.health.take_unsent()
         activity = Activity(
-            sent=[write_sent(each) for each in sent],
+            sent=[encode_sent_prompt(each) for each in sent],
             outcomes=write_outcomes(outcomes),
             readings=self._knowledge.speeds.rates.take_untold(),
             work=self._knowledge.customer_work.take_untold(),
