--- a/wingfall/gateway/peers/loads/load_entries.py
+++ b/wingfall/gateway/peers/loads/load_entries.py
@@ -113,7 +113,7 @@
     return [sent.endpoint, sent.uncached_tokens, *parts]
 
 
-def write_outcomes(outcomes: dict[str, Outcomes]) -> list[list[Any]]:
+def encode_outcomes(outcomes: dict[str, Outcomes]) -> list[list[Any]]:
     """Encode request outcomes.
 
     :param outcomes: outcome counts by endpoint.
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -17,7 +17,7 @@
     only_seen,
     read_loads,
     encode_loads,
-    write_outcomes,
+    encode_outcomes,
     encode_sent_prompt,
 )
 from wingfall.gateway.peers.loads.zone_relay import ZoneRelay
@@ -130,7 +130,7 @@
         outcomes = self._knowledge.health.take_unsent()
         activity = Activity(
             sent=[encode_sent_prompt(each) for each in sent],
-            outcomes=write_outcomes(outcomes),
+            outcomes=encode_outcomes(outcomes),
             readings=self._knowledge.speeds.rates.take_untold(),
             work=self._knowledge.customer_work.take_untold(),
             gaps=self._knowledge.full_gaps.take_untold(),
