--- a/tests/test_gateway_load.py
+++ b/tests/test_gateway_load.py
@@ -13,7 +13,7 @@
 from wingfall.gateway.model.object_store import StoredObject, StoreReading
 from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 from wingfall.gateway.peers.loads.load_entries import (
-    read_loads,
+    decode_loads,
     encode_loads,
     encode_load,
 )
@@ -131,7 +131,7 @@
         memory_used=9,
         streams={300: 2, 200: 1},
     )
-    ((name, read),) = read_loads(encode_loads({'one': load}))
+    ((name, read),) = decode_loads(encode_loads({'one': load}))
     assert name == 'one'
     assert encode_load(read) == encode_load(load)
     assert read.streams == load.streams
--- a/wingfall/gateway/peers/loads/load_entries.py
+++ b/wingfall/gateway/peers/loads/load_entries.py
@@ -122,7 +122,7 @@
     return [[name, each.failed, each.served] for name, each in outcomes.items()]
 
 
-def read_loads(raw: Iterable[list[Any]]) -> list[tuple[str, EndpointLoad]]:
+def decode_loads(raw: Iterable[list[Any]]) -> list[tuple[str, EndpointLoad]]:
     """Decode loads by endpoint.
 
     :param raw: the entries of a message.
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -15,7 +15,7 @@
     Activity,
     note_activity,
     only_seen,
-    read_loads,
+    decode_loads,
     encode_loads,
     encode_outcomes,
     encode_sent_prompt,
@@ -154,7 +154,7 @@
         :param whole: whether the peer has no load at other endpoints.
         """
         self._knowledge.load.take_from_peer(
-            session.name, read_loads(loads), whole=whole
+            session.name, decode_loads(loads), whole=whole
         )
         note_activity(activity, self._knowledge)
         if session.zone == self._zone:
@@ -180,7 +180,7 @@
         source = _source(zone_loads.zone)
         self._knowledge.load.take_from_peer(
             source,
-            read_loads(zone_loads.loads),
+            decode_loads(zone_loads.loads),
             whole=zone_loads.whole,
         )
         note_activity(
