--- a/wingfall/gateway/peers/loads/load_entries.py
+++ b/wingfall/gateway/peers/loads/load_entries.py
@@ -149,7 +149,7 @@
             knowledge.customer_work.take_from_peer(pool, customer, asked, given)
 
 
-def only_seen(readings: Iterable[list[Any]]) -> list[list[Any]]:
+def without_estimates(readings: Iterable[list[Any]]) -> list[list[Any]]:
     """Return the entries with measured rates, without estimates.
 
     :param readings: prefill rates of engines, as in a heartbeat.
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -14,7 +14,7 @@
 from wingfall.gateway.peers.loads.load_entries import (
     Activity,
     note_activity,
-    only_seen,
+    without_estimates,
     decode_loads,
     encode_loads,
     encode_outcomes,
@@ -159,7 +159,7 @@
         note_activity(activity, self._knowledge)
         if session.zone == self._zone:
             # Other zones have received the samples that a greeting sums up.
-            activity.readings = only_seen(activity.readings)
+            activity.readings = without_estimates(activity.readings)
             self._relay.add_activity(activity)
 
     def merge_zone_loads(
