--- a/tests/peer_standin.py
+++ b/tests/peer_standin.py
@@ -13,7 +13,7 @@
 from wingfall.errors import WireError
 from wingfall.gateway.configuration.replica import ROUTES_KIND, ObjectReplica
 from wingfall.gateway.model.object_store import StoredObject, StoreReading
-from wingfall.gateway.peers.heartbeat_schedule import silence_ms
+from wingfall.gateway.peers.heartbeat_schedule import silence_timeout_ms
 from wingfall.gateway.peers.objects.object_exchange import ObjectExchange
 from wingfall.gateway.peers.peer_session import PeerSession
 from wingfall.wire.connection import Connection
@@ -74,7 +74,7 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, size)
         connection = Connection(sock=sock)
         connection.allow_large()
-        connection.set_timeout(silence_ms(1))
+        connection.set_timeout(silence_timeout_ms(1))
         connection.send(self._hello())
         heartbeats = gevent.spawn(self._send_heartbeats, connection)
         try:
--- a/wingfall/gateway/peers/gateway_peers.py
+++ b/wingfall/gateway/peers/gateway_peers.py
@@ -15,7 +15,7 @@
 
 from wingfall.clock import MS_PER_S
 from wingfall.errors import WireError
-from wingfall.gateway.peers.heartbeat_schedule import TICK_MS, silence_ms
+from wingfall.gateway.peers.heartbeat_schedule import TICK_MS, silence_timeout_ms
 from wingfall.gateway.peers.heartbeats import Heartbeats, NewsKind
 from wingfall.gateway.peers.objects.object_exchange import ObjectExchange
 from wingfall.gateway.peers.peer_addresses import PeerAddresses
@@ -202,7 +202,7 @@
     def _run_session(self, sock: socket.socket, *, dialed: bool) -> None:
         connection = Connection(sock=sock)
         connection.allow_large()
-        connection.set_timeout(silence_ms(len(self._sessions)))
+        connection.set_timeout(silence_timeout_ms(len(self._sessions)))
         connection.send(self._hello())
         session: PeerSession | None = None
         try:
--- a/wingfall/gateway/peers/heartbeat_schedule.py
+++ b/wingfall/gateway/peers/heartbeat_schedule.py
@@ -43,7 +43,7 @@
     return max(TICK_MS, peers * _INTERVAL_PER_PEER_MS)
 
 
-def silence_ms(peers: int) -> int:
+def silence_timeout_ms(peers: int) -> int:
     """Return the time after which a silent peer counts as gone.
 
     :param peers: number of peers to which that peer sends.
