--- a/tests/exchange_site.py
+++ b/tests/exchange_site.py
@@ -15,7 +15,7 @@
 from wingfall.gateway.knowledge.load import LoadTable
 from wingfall.gateway.knowledge.prefix_caches import PrefixCaches
 from wingfall.gateway.knowledge.shared_rates import SharedRates
-from wingfall.gateway.peers.heartbeat_schedule import interval_ms
+from wingfall.gateway.peers.heartbeat_schedule import heartbeat_interval_ms
 from wingfall.gateway.peers.loads.load_entries import Activity
 from wingfall.gateway.peers.loads.load_exchange import LoadExchange
 from wingfall.gateway.peers.loads.relay_choice import find_relay
@@ -187,7 +187,7 @@
         others = [self._by_name[name] for name in one.sessions]
         near = [each for each in others if each.zone == one.zone]
         now_ms = self.clock.now_ms()
-        if now_ms - one.last_report_ms < interval_ms(len(near)) and not whole:
+        if now_ms - one.last_report_ms < heartbeat_interval_ms(len(near)) and not whole:
             return
         one.last_report_ms = now_ms
         reach = one.exchange.count_reached_zones(one.sessions.values())
--- a/tests/load_replay.py
+++ b/tests/load_replay.py
@@ -39,7 +39,7 @@
 from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 from wingfall.gateway.model.prompt import Prompt, PromptPart
 from wingfall.gateway.model.routes import CallerLimits, Pool, Routes
-from wingfall.gateway.peers.heartbeat_schedule import interval_ms
+from wingfall.gateway.peers.heartbeat_schedule import heartbeat_interval_ms
 from wingfall.gateway.peers.loads.load_exchange import LoadExchange
 from wingfall.gateway.rules.admission.early_refusal import admissions
 from wingfall.gateway.rules.admission.fair_shares import FairShares
@@ -523,7 +523,7 @@
         if self.clock.now_ms() < self._pattern.seconds * _MS:
             peers = len(self._gateways) - 1
             self._run_after(
-                interval_ms(peers), lambda: self._send_heartbeat(gateway)
+                heartbeat_interval_ms(peers), lambda: self._send_heartbeat(gateway)
             )
 
     def _add_engine(self, max_delay_ms: int) -> None:
--- a/tests/test_heartbeat_schedule.py
+++ b/tests/test_heartbeat_schedule.py
@@ -5,7 +5,7 @@
 from wingfall.gateway.peers.heartbeat_schedule import (
     HeartbeatDue,
     HeartbeatSchedule,
-    interval_ms,
+    heartbeat_interval_ms,
     silence_timeout_ms,
 )
 
@@ -50,7 +50,7 @@
 
 def test_silence_is_longer_than_some_beats():
     for peers in (1, 30, 300, 1000):
-        assert silence_timeout_ms(peers) >= 3 * interval_ms(peers)
+        assert silence_timeout_ms(peers) >= 3 * heartbeat_interval_ms(peers)
 
 
 def test_peers_of_other_zones_do_not_slow_changes():
--- a/wingfall/gateway/peers/heartbeat_schedule.py
+++ b/wingfall/gateway/peers/heartbeat_schedule.py
@@ -34,7 +34,7 @@
     whole = 'whole'
 
 
-def interval_ms(peers: int) -> int:
+def heartbeat_interval_ms(peers: int) -> int:
     """Return the interval between two heartbeats.
 
     :param peers: number of peers that receive them.
@@ -49,7 +49,7 @@
     :param peers: number of peers to which that peer sends.
     :returns: the time in milliseconds.
     """
-    return max(_MIN_SILENCE_MS, interval_ms(peers) * _MIN_SILENCE_INTERVALS)
+    return max(_MIN_SILENCE_MS, heartbeat_interval_ms(peers) * _MIN_SILENCE_INTERVALS)
 
 
 def seen_within_ms(peers: int) -> int:
@@ -58,7 +58,7 @@
     :param peers: number of peers to which that peer sends.
     :returns: the time in milliseconds.
     """
-    return int(max(_WHOLE_INTERVAL_MS, interval_ms(peers)) * _LATE_FACTOR)
+    return int(max(_WHOLE_INTERVAL_MS, heartbeat_interval_ms(peers)) * _LATE_FACTOR)
 
 
 @final
@@ -85,8 +85,8 @@
         :param near: number of peers that receive each change.
         :param peers: number of peers that receive any heartbeat.
         """
-        self._interval_ms = interval_ms(near)
-        self._whole_interval_ms = max(_WHOLE_INTERVAL_MS, interval_ms(peers))
+        self._interval_ms = heartbeat_interval_ms(near)
+        self._whole_interval_ms = max(_WHOLE_INTERVAL_MS, heartbeat_interval_ms(peers))
 
     def due(
         self,
--- a/wingfall/gateway/peers/loads/zone_relay.py
+++ b/wingfall/gateway/peers/loads/zone_relay.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, final
 
 from wingfall.gateway.peers.heartbeat_schedule import (
-    interval_ms,
+    heartbeat_interval_ms,
     seen_within_ms,
 )
 from wingfall.gateway.peers.loads.load_entries import (
@@ -103,7 +103,7 @@
             self._reported_work = None
             self._activity = Activity()
             return
-        is_due = now_ms - self._last_sent_ms >= interval_ms(len(near))
+        is_due = now_ms - self._last_sent_ms >= heartbeat_interval_ms(len(near))
         if not (is_due or whole):
             return
         self._last_sent_ms = now_ms
