--- a/tests/test_peer_sessions.py
+++ b/tests/test_peer_sessions.py
@@ -11,7 +11,7 @@
 
 from tests.gateway_site import HOST, GatewaySite
 from tests.local_site import wait_until
-from wingfall.gateway.peers.ranking import rank
+from wingfall.gateway.peers.ranking import compute_rank
 from wingfall.wire.connection import Connection
 from wingfall.wire.gateway_messages import GatewayHello
 
@@ -22,8 +22,8 @@
 
 GATEWAY = 'gateway-0'
 NAMES = [f'peer-{number}' for number in range(500)]
-LOWER_RANKED = next(name for name in NAMES if rank(name) < rank(GATEWAY))
-HIGHER_RANKED = next(name for name in NAMES if rank(name) > rank(GATEWAY))
+LOWER_RANKED = next(name for name in NAMES if compute_rank(name) < compute_rank(GATEWAY))
+HIGHER_RANKED = next(name for name in NAMES if compute_rank(name) > compute_rank(GATEWAY))
 
 
 @final
--- a/wingfall/gateway/peers/duty_exchange.py
+++ b/wingfall/gateway/peers/duty_exchange.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING, Any, Final, final
 
-from wingfall.gateway.peers.ranking import rank
+from wingfall.gateway.peers.ranking import compute_rank
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable, Iterator
@@ -145,4 +145,4 @@
 
 
 def _session_rank(session: PeerSession) -> bytes:
-    return rank(session.name)
+    return compute_rank(session.name)
--- a/wingfall/gateway/peers/loads/relay_choice.py
+++ b/wingfall/gateway/peers/loads/relay_choice.py
@@ -7,7 +7,7 @@
 
 from typing import TYPE_CHECKING
 
-from wingfall.gateway.peers.ranking import rank
+from wingfall.gateway.peers.ranking import compute_rank
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -47,4 +47,4 @@
     :param reach: number of other zones that it receives heartbeats from.
     :returns: sort key; the relay has the lowest.
     """
-    return (-reach, rank(name))
+    return (-reach, compute_rank(name))
--- a/wingfall/gateway/peers/peer_session.py
+++ b/wingfall/gateway/peers/peer_session.py
@@ -7,7 +7,7 @@
 
 from typing import TYPE_CHECKING, final
 
-from wingfall.gateway.peers.ranking import rank
+from wingfall.gateway.peers.ranking import compute_rank
 
 if TYPE_CHECKING:
     from wingfall.gateway.peers.objects.object_transfer import OutgoingTransfer
@@ -92,4 +92,4 @@
             return True
         if existing.dialed is self.dialed:
             return True
-        return self.dialed is (rank(own_name) < rank(self.name))
+        return self.dialed is (compute_rank(own_name) < compute_rank(self.name))
--- a/wingfall/gateway/peers/ranking.py
+++ b/wingfall/gateway/peers/ranking.py
@@ -5,7 +5,7 @@
 import hashlib
 
 
-def rank(name: str) -> bytes:
+def compute_rank(name: str) -> bytes:
     """Return the rank of a gateway, the same on every gateway.
 
     :param name: name of the gateway.
--- a/wingfall/gateway/peers/watch_duty.py
+++ b/wingfall/gateway/peers/watch_duty.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING, Final, final
 
-from wingfall.gateway.peers.ranking import rank
+from wingfall.gateway.peers.ranking import compute_rank
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
@@ -67,11 +67,11 @@
     :param seen_since_ms: earliest time of the last message of a live peer.
     :returns: sessions with live peers that are not leaving and rank lower.
     """
-    own_rank = rank(name)
+    own_rank = compute_rank(name)
     return [
         session
         for session in sessions
         if not session.leaving
         and session.last_seen_ms >= seen_since_ms
-        and rank(session.name) < own_rank
+        and compute_rank(session.name) < own_rank
     ]
