--- a/tests/test_watch_duty.py
+++ b/tests/test_watch_duty.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from tests.fake_connection import make_peer
-from wingfall.gateway.peers.watch_duty import WATCHERS, WatchDuty
+from wingfall.gateway.peers.watch_duty import WATCHER_COUNT, WatchDuty
 
 if TYPE_CHECKING:
     from wingfall.gateway.peers.peer_session import PeerSession
@@ -40,29 +40,29 @@
 
 
 def test_first_gateways_watch():
-    peers = make_peers(watching=WATCHERS)
-    assert watchers(peers, make_duties(), 0) == list(range(WATCHERS))
+    peers = make_peers(watching=WATCHER_COUNT)
+    assert watchers(peers, make_duties(), 0) == list(range(WATCHER_COUNT))
 
 
 def test_few_gateways_step_in_at_once_for_those_that_are_lost():
     peers = make_peers(watching=1, lost=2)
-    assert watchers(peers, make_duties(), 0) == list(range(2 * WATCHERS))
+    assert watchers(peers, make_duties(), 0) == list(range(2 * WATCHER_COUNT))
 
 
 def test_twice_as_many_step_in_with_each_wave():
     peers = make_peers(watching=0)
     duties = make_duties()
-    assert len(watchers(peers, duties, 0)) == 2 * WATCHERS
-    assert len(watchers(peers, duties, 499)) == 2 * WATCHERS
-    assert len(watchers(peers, duties, 500)) == 4 * WATCHERS
+    assert len(watchers(peers, duties, 0)) == 2 * WATCHER_COUNT
+    assert len(watchers(peers, duties, 499)) == 2 * WATCHER_COUNT
+    assert len(watchers(peers, duties, 500)) == 4 * WATCHER_COUNT
     assert len(watchers(peers, duties, 1500)) == GATEWAYS
 
 
 def test_waves_begin_anew_once_there_were_enough():
     duties = make_duties()
-    assert len(watchers(make_peers(watching=0), duties, 0)) == 2 * WATCHERS
-    assert len(watchers(make_peers(watching=WATCHERS), duties, 900)) == WATCHERS
-    assert len(watchers(make_peers(watching=0), duties, 1000)) == 2 * WATCHERS
+    assert len(watchers(make_peers(watching=0), duties, 0)) == 2 * WATCHER_COUNT
+    assert len(watchers(make_peers(watching=WATCHER_COUNT), duties, 900)) == WATCHER_COUNT
+    assert len(watchers(make_peers(watching=0), duties, 1000)) == 2 * WATCHER_COUNT
 
 
 def test_gateway_that_hears_no_peer_watches():
--- a/wingfall/gateway/peers/peer_view.py
+++ b/wingfall/gateway/peers/peer_view.py
@@ -7,7 +7,7 @@
 from wingfall.gateway.duties.standing import Peering
 from wingfall.gateway.peers.heartbeat_schedule import seen_within_ms
 from wingfall.gateway.peers.watch_duty import (
-    WATCHERS,
+    WATCHER_COUNT,
     WatchDuty,
     peers_before,
 )
@@ -62,7 +62,7 @@
     def is_among_first(self) -> bool:
         """Whether this gateway is among the first to retry a lost store."""
         within_ms = seen_within_ms(len(self._sessions))
-        return len(self._preceding_peers(within_ms)) < WATCHERS
+        return len(self._preceding_peers(within_ms)) < WATCHER_COUNT
 
     def snapshot(self) -> Peering:
         """Return a snapshot of the peers, for eligibility for the lease.
--- a/wingfall/gateway/peers/watch_duty.py
+++ b/wingfall/gateway/peers/watch_duty.py
@@ -16,7 +16,7 @@
     from wingfall.gateway.peers.peer_session import PeerSession
 
 # Changes still arrive if one watcher ends and one is cut off from the store.
-WATCHERS: Final = 3
+WATCHER_COUNT: Final = 3
 # Time until peers know that a gateway has started to watch: it checks each
 # 0.1 s, asks the store, and reports in its next heartbeat within 0.1 s.
 _WAVE_INTERVAL_MS: Final = 500
@@ -46,13 +46,13 @@
         :returns: whether this gateway shall watch.
         """
         watching = sum(each.watching for each in preceding)
-        if watching >= WATCHERS:
+        if watching >= WATCHER_COUNT:
             self._too_few_since_ms = None
             return False
         if self._too_few_since_ms is None:
             self._too_few_since_ms = now_ms
         waves = 1 + (now_ms - self._too_few_since_ms) // _WAVE_INTERVAL_MS
-        return len(preceding) < WATCHERS * 2**waves
+        return len(preceding) < WATCHER_COUNT * 2**waves
 
 
 def peers_before(
