--- a/wingfall/gateway/peers/peer_view.py
+++ b/wingfall/gateway/peers/peer_view.py
@@ -9,7 +9,7 @@
 from wingfall.gateway.peers.watch_duty import (
     WATCHER_COUNT,
     WatchDuty,
-    peers_before,
+    list_preceding_peers,
 )
 
 if TYPE_CHECKING:
@@ -83,4 +83,4 @@
     def _preceding_peers(self, within_ms: int) -> list[PeerSession]:
         seen_since_ms = self._clock.now_ms() - within_ms
         sessions = self._sessions.values()
-        return peers_before(self._name, sessions, seen_since_ms)
+        return list_preceding_peers(self._name, sessions, seen_since_ms)
--- a/wingfall/gateway/peers/watch_duty.py
+++ b/wingfall/gateway/peers/watch_duty.py
@@ -55,7 +55,7 @@
         return len(preceding) < WATCHER_COUNT * 2**waves
 
 
-def peers_before(
+def list_preceding_peers(
     name: str,
     sessions: Iterable[PeerSession],
     seen_since_ms: int,
