--- a/tests/exchange_site.py
+++ b/tests/exchange_site.py
@@ -71,7 +71,7 @@
         self.reads.append((endpoint, tokens))
 
     def take_readings(self, engine: str, rates: list[int]) -> None:
-        self.rates.take_told(engine, POOL, rates)
+        self.rates.merge_reported(engine, POOL, rates)
 
     def rate(self, engine: str) -> float:
         """Return the prefill rate of an engine as known to this gateway."""
--- a/tests/test_full_gaps.py
+++ b/tests/test_full_gaps.py
@@ -53,7 +53,7 @@
     assert gaps.take_untold() == []
     receiver = FullGaps(clock=clock, reports_gaps=True)
     for name, *gaps_ms in reported:
-        receiver.take_told(name, gaps_ms)
+        receiver.merge_reported(name, gaps_ms)
     assert receiver.find('e').gaps_ms == [90, 90, 90, 90]
     assert receiver.take_untold() == []
 
@@ -65,7 +65,7 @@
     assert gaps.write_all() == [['e', 94, 95, 96, 97, 98, 99]]
     started = FullGaps(clock=clock, reports_gaps=True)
     for name, *gaps_ms in gaps.write_all():
-        started.take_told(name, gaps_ms)
+        started.merge_reported(name, gaps_ms)
     assert started.find('e').typical_ms is not None
 
 
--- a/tests/test_shared_rates.py
+++ b/tests/test_shared_rates.py
@@ -100,7 +100,7 @@
 
 def test_absurd_readings_are_bounded(rates: SharedRates):
     rates.note('e', POOL, LONG_TOKENS, 0.1)
-    rates.take_told('e', POOL, [10**9])
+    rates.merge_reported('e', POOL, [10**9])
     assert rate_of(rates, 'e') == MAX_RATE
 
 
@@ -110,7 +110,7 @@
     other = SharedRates(clock=manual_clock)
     rates.note('e', POOL, LONG_TOKENS, FAST_MS)
     for engine, *reported in rates.take_untold():
-        other.take_told(engine, POOL, reported)
+        other.merge_reported(engine, POOL, reported)
     assert rate_of(other, 'e') == rate_of(rates, 'e')
     # Reported samples are neither resent nor relayed.
     assert not rates.take_untold()
@@ -134,7 +134,7 @@
     rates.note('e', POOL, LONG_TOKENS, FAST_MS)
     encoded = rates.write_all()
     for engine, *reported in encoded * 60:
-        new.take_told(engine, POOL, reported)
+        new.merge_reported(engine, POOL, reported)
     assert rate_of(new, 'e') == 60
     # An estimated rate counts as one sample, however many gateways send it.
     for _sample in range(5):
@@ -150,14 +150,14 @@
     for _sample in range(16):
         rates.note('e', POOL, LONG_TOKENS, FAST_MS)
     for engine, *reported in other.write_all() * 60:
-        rates.take_told(engine, POOL, reported)
+        rates.merge_reported(engine, POOL, reported)
     assert rate_of(rates, 'e') == 60
 
 
 def test_greeting_before_the_list_of_engines_is_kept(rates: SharedRates):
     speeds = EngineSpeeds(rates=rates)
     rate_before_listing = speeds.find('e', '').rate
-    rates.take_told('e', '', [-600])
+    rates.merge_reported('e', '', [-600])
     speeds.keep_only(set())
     assert rate_before_listing.tokens_per_ms == 60
     assert speeds.find('e', POOL).rate.tokens_per_ms == 60
@@ -235,7 +235,7 @@
     rates = OwnRates()
     rates.note('e', POOL, LONG_TOKENS, FAST_MS)
     before = rates.find('e', POOL).tokens_per_ms
-    rates.take_told('e', POOL, [600, -600])
+    rates.merge_reported('e', POOL, [600, -600])
     rates.note_short('e', POOL, SHORT_TOKENS, FAST_MS)
     assert rates.find('e', POOL).tokens_per_ms == before
     assert rates.fixed_ms(POOL) is None
--- a/wingfall/gateway/knowledge/endpoint_knowledge.py
+++ b/wingfall/gateway/knowledge/endpoint_knowledge.py
@@ -195,7 +195,7 @@
             last; a negative value is the other gateway's estimate.
         """
         known = self.table.find(name)
-        self.speeds.rates.take_told(name, known.pool if known else '', rates)
+        self.speeds.rates.merge_reported(name, known.pool if known else '', rates)
 
     def take_gaps(self, name: str, gaps_ms: list[int]) -> None:
         """Merge token gaps of an engine's streams from another gateway.
@@ -204,7 +204,7 @@
         :param gaps_ms: token gaps in milliseconds, the newest last.
         """
         if self.table.find(name) is not None:
-            self.full_gaps.take_told(name, gaps_ms)
+            self.full_gaps.merge_reported(name, gaps_ms)
 
     def ready_ms(self, name: str) -> int:
         """Estimate when the prefill of all prompts sent to an engine ends.
--- a/wingfall/gateway/knowledge/engine_speeds.py
+++ b/wingfall/gateway/knowledge/engine_speeds.py
@@ -53,7 +53,7 @@
     def fixed_ms(self, pool: str) -> float | None:
         """Return the fixed time of a first event, None if not measured."""
 
-    def take_told(self, engine: str, pool: str, rates: list[int]) -> None:
+    def merge_reported(self, engine: str, pool: str, rates: list[int]) -> None:
         """Merge samples that another gateway reported."""
 
     def take_untold(self) -> list[list[Any]]:
--- a/wingfall/gateway/knowledge/full_gaps.py
+++ b/wingfall/gateway/knowledge/full_gaps.py
@@ -134,7 +134,7 @@
             self._windows[engine] = window
         return window
 
-    def take_told(self, engine: str, gaps_ms: list[int]) -> None:
+    def merge_reported(self, engine: str, gaps_ms: list[int]) -> None:
         """Merge gaps that another gateway reported.
 
         :param engine: name of the engine.
--- a/wingfall/gateway/knowledge/own_rates.py
+++ b/wingfall/gateway/knowledge/own_rates.py
@@ -94,7 +94,7 @@
         :param pool: name of the pool.
         """
 
-    def take_told(self, engine: str, pool: str, rates: list[int]) -> None:
+    def merge_reported(self, engine: str, pool: str, rates: list[int]) -> None:
         """Ignore samples of another gateway.
 
         :param engine: name of the engine.
--- a/wingfall/gateway/knowledge/shared_rates.py
+++ b/wingfall/gateway/knowledge/shared_rates.py
@@ -228,7 +228,7 @@
             read_ms = tokens / self.find(engine, pool).tokens_per_ms
             self.of_pool(pool).fixed_start.note(elapsed_ms - read_ms)
 
-    def take_told(self, engine: str, pool: str, rates: list[int]) -> None:
+    def merge_reported(self, engine: str, pool: str, rates: list[int]) -> None:
         """Merge samples that another gateway reported.
 
         :param engine: name of the engine.
--- a/wingfall/gateway/knowledge/sized_rates.py
+++ b/wingfall/gateway/knowledge/sized_rates.py
@@ -137,7 +137,7 @@
         """
         return self._rates_of(pool).fixed_ms(pool)
 
-    def take_told(self, engine: str, pool: str, rates: list[int]) -> None:
+    def merge_reported(self, engine: str, pool: str, rates: list[int]) -> None:
         """Merge samples that another gateway reported.
 
         :param engine: name of the engine.
@@ -145,7 +145,7 @@
         :param rates: the reported rates.
         """
         self.find(engine, pool)
-        self._shared.take_told(engine, pool, rates)
+        self._shared.merge_reported(engine, pool, rates)
 
     def take_untold(self) -> list[list[Any]]:
         """Return and clear the samples that were not reported to peers.
