--- a/tests/rate_world.py
+++ b/tests/rate_world.py
@@ -208,7 +208,7 @@
             gateway.limit_known_ms = self.clock.now_ms()
         signals = AnswerSignals(rate=rate)
         gateway.signals.note_answer(ENDPOINT, signals, sent_ms)
-        if gateway.signals.take_untold():
+        if gateway.signals.take_unreported():
             for peer in self.gateways:
                 self._send_update(gateway.name, peer)
 
--- a/tests/test_customer_work.py
+++ b/tests/test_customer_work.py
@@ -49,14 +49,14 @@
 def test_work_is_told_once(work: CustomerWork):
     work.note(POOL, 'aker', Work(asked=4000))
     work.note(POOL, 'aker', Work(given=2000.4))
-    assert work.take_untold() == [[POOL, 'aker', 4000, 2000]]
-    assert not work.take_untold()
+    assert work.take_unreported() == [[POOL, 'aker', 4000, 2000]]
+    assert not work.take_unreported()
 
 
 def test_work_that_was_told_is_not_told_again(work: CustomerWork):
     work.take_from_peer(POOL, 'aker', 4000, 2000)
     assert requested_work(work, 'aker') == 4000
-    assert not work.take_untold()
+    assert not work.take_unreported()
 
 
 def test_faded_customers_are_forgotten(work: CustomerWork, clock: ManualClock):
--- a/tests/test_fair_admission.py
+++ b/tests/test_fair_admission.py
@@ -252,7 +252,7 @@
 def test_baselines_tell_nothing_of_customers(admission: str):
     pool = Pool(admission=admission)
     assert engine_name(pool.admit(chosen='e1')) == 'e1'
-    assert not pool.knowledge.customer_work.take_untold()
+    assert not pool.knowledge.customer_work.take_unreported()
 
 
 def test_engine_that_is_left_out_gives_no_room():
@@ -274,7 +274,7 @@
     pool = Pool()
     pool.queue(2000, 'e1', 'e2', 'e3', 'e4')
     assert isinstance(pool.admit('hot'), Refusal)
-    (entry,) = pool.knowledge.customer_work.take_untold()
+    (entry,) = pool.knowledge.customer_work.take_unreported()
     assert entry[:2] == [POOL, 'hot']
     assert entry[2] > PROMPT_TOKENS
     assert entry[3] == 0
@@ -294,4 +294,4 @@
     pool.knowledge._large_pool = 5
     pool.queue(2000, 'e1')
     assert isinstance(pool.admit(chosen='e1'), Refusal)
-    assert not pool.knowledge.customer_work.take_untold()
+    assert not pool.knowledge.customer_work.take_unreported()
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -102,7 +102,7 @@
     def exchange_reports(self) -> None:
         """Send unreported work of each gateway to the others."""
         for group, sender in self._members():
-            entries = sender.knowledge.customer_work.take_untold()
+            entries = sender.knowledge.customer_work.take_unreported()
             report = Activity(work=[] if sender in self.silent else entries)
             for receiver in group:
                 if receiver is not sender:
--- a/tests/test_full_gaps.py
+++ b/tests/test_full_gaps.py
@@ -45,17 +45,17 @@
     gaps = FullGaps(clock=clock, reports_gaps=True)
     for _stream in range(20):
         gaps.find('e').note(90)
-    reported = gaps.take_untold()
+    reported = gaps.take_unreported()
     assert reported == [['e', 90, 90, 90, 90]]
-    assert gaps.take_untold() == []
+    assert gaps.take_unreported() == []
     # The recent gaps suffice for all gateways.
     gaps.find('e').note(90)
-    assert gaps.take_untold() == []
+    assert gaps.take_unreported() == []
     receiver = FullGaps(clock=clock, reports_gaps=True)
     for name, *gaps_ms in reported:
         receiver.merge_reported(name, gaps_ms)
     assert receiver.find('e').gaps_ms == [90, 90, 90, 90]
-    assert receiver.take_untold() == []
+    assert receiver.take_unreported() == []
 
 
 def test_gateway_that_starts_is_told_enough(clock: ManualClock):
@@ -72,7 +72,7 @@
 def test_nothing_is_told_where_no_groups_are_asked_for(clock: ManualClock):
     gaps = FullGaps(clock=clock)
     gaps.find('e').note(90)
-    assert gaps.take_untold() == []
+    assert gaps.take_unreported() == []
     assert gaps.write_all() == []
 
 
--- a/tests/test_shared_rates.py
+++ b/tests/test_shared_rates.py
@@ -95,7 +95,7 @@
     rates.note('e', POOL, SHORT_TOKENS, 1)
     rates.note('e', POOL, LONG_TOKENS, 0)
     assert rate_of(rates, 'e') == FIRST_RATE
-    assert not rates.take_untold()
+    assert not rates.take_unreported()
 
 
 def test_absurd_readings_are_bounded(rates: SharedRates):
@@ -109,21 +109,21 @@
 ):
     other = SharedRates(clock=manual_clock)
     rates.note('e', POOL, LONG_TOKENS, FAST_MS)
-    for engine, *reported in rates.take_untold():
+    for engine, *reported in rates.take_unreported():
         other.merge_reported(engine, POOL, reported)
     assert rate_of(other, 'e') == rate_of(rates, 'e')
     # Reported samples are neither resent nor relayed.
-    assert not rates.take_untold()
-    assert not other.take_untold()
+    assert not rates.take_unreported()
+    assert not other.take_unreported()
 
 
 def test_few_readings_are_told_at_once(rates: SharedRates):
     for _sample in range(30):
         rates.note('e', POOL, LONG_TOKENS, FAST_MS)
-    ((_engine, *reported),) = rates.take_untold()
+    ((_engine, *reported),) = rates.take_unreported()
     assert len(reported) == 4
     rates.note('e', POOL, LONG_TOKENS, FAST_MS)
-    assert not rates.take_untold()
+    assert not rates.take_unreported()
 
 
 def test_gateway_that_starts_believes_what_it_is_told(
@@ -190,7 +190,7 @@
     rates.note('gone', POOL, LONG_TOKENS, FAST_MS)
     rates.keep_only({'other'})
     assert rates.of_pool(POOL).tokens_per_ms == FIRST_RATE
-    assert not rates.take_untold()
+    assert not rates.take_unreported()
     manual_clock.advance(EXPIRY_MS)
     rates.keep_only({'other'})
     assert not rates.write_all()
@@ -239,7 +239,7 @@
     rates.note_short('e', POOL, SHORT_TOKENS, FAST_MS)
     assert rates.find('e', POOL).tokens_per_ms == before
     assert rates.fixed_ms(POOL) is None
-    assert not rates.take_untold()
+    assert not rates.take_unreported()
     assert not rates.write_all()
 
 
--- a/tests/test_signal_exchange.py
+++ b/tests/test_signal_exchange.py
@@ -50,13 +50,13 @@
     receiver, peer_signals = make_exchange('g2', clock)
     own_signals.note_answer('e1', AnswerSignals(rate=2, leaving=True), 99_990)
     clock.advance(70)
-    receiver.merge(sender.take_untold())
+    receiver.merge(sender.take_unreported())
     limit = peer_signals.limits['e1']
     assert (limit.rate, limit.told_by, limit.heard_ms) == (2, 'g1', 100_000)
     assert peer_signals.leaving['e1'].told_by == 'g1'
     assert receiver.recent_sum == sender.recent_sum
     # Signals received from a peer are not forwarded.
-    assert receiver.take_untold().is_empty
+    assert receiver.take_unreported().is_empty
     assert not receiver.write_all().is_empty
 
 
@@ -64,10 +64,10 @@
     sender, own_signals = make_exchange('g1', clock)
     receiver, peer_signals = make_exchange('g2', clock)
     own_signals.note_answer('e1', AnswerSignals(rate=2), 99_990)
-    receiver.merge(sender.take_untold())
+    receiver.merge(sender.take_unreported())
     clock.advance(100)
     own_signals.note_answer('e1', AnswerSignals(), 100_050)
-    receiver.merge(sender.take_untold())
+    receiver.merge(sender.take_unreported())
     assert peer_signals.limits['e1'].rate is None
     assert receiver.recent_sum == sender.recent_sum
 
@@ -77,7 +77,7 @@
     receiver, peer_signals = make_exchange('g2', clock)
     stale, _known = make_exchange('g3', clock)
     own_signals.note_answer('e1', AnswerSignals(rate=2), 99_990)
-    stale.merge(sender.take_untold())
+    stale.merge(sender.take_unreported())
     clock.advance(100)
     own_signals.note_answer('e1', AnswerSignals(), 100_050)
     receiver.merge(sender.write_all())
@@ -90,7 +90,7 @@
     sender, own_signals = make_exchange('g1', clock)
     receiver, peer_signals = make_exchange('g2', clock)
     own_signals.note_answer('e1', AnswerSignals(rate=2), 99_990)
-    sender.take_untold()
+    sender.take_unreported()
     peer = session()
     assert sender.answer_digest(peer, receiver.recent_sum, 1).is_empty
     clock.advance(SETTLE_TIME_MS)
@@ -105,7 +105,7 @@
 def test_last_version_and_this_one_read_each_other(clock: ManualClock):
     sender, own_signals = make_exchange('g1', clock)
     own_signals.note_answer('e1', AnswerSignals(rate=2), 99_990)
-    sent = heartbeat(sender.take_untold(), sender.recent_sum)
+    sent = heartbeat(sender.take_unreported(), sender.recent_sum)
     before = sent.fields()[: 1 + sent.__slots__.index('limits')]
     read = build_message(before)
     assert read.signal_sum == -1
@@ -126,7 +126,7 @@
     for number in range(limits):
         endpoint = f'i-{number:010x}'
         own_signals.note_answer(endpoint, AnswerSignals(rate=1.5), 99_990)
-    updates = heartbeat(sender.take_untold(), sender.recent_sum)
+    updates = heartbeat(sender.take_unreported(), sender.recent_sum)
     slots = updates.__slots__.index('limits')
     without = build_message(updates.fields()[: 1 + slots])
     bare = len(encode(without)) - 3
--- a/wingfall/gateway/knowledge/customer_work.py
+++ b/wingfall/gateway/knowledge/customer_work.py
@@ -188,7 +188,7 @@
         """
         self._add(pool, customer, Work(asked=asked, given=given))
 
-    def take_untold(self) -> list[list[Any]]:
+    def take_unreported(self) -> list[list[Any]]:
         """Return and clear the work not yet reported to peers.
 
         :returns: for each pool and customer, a list of both names, the
--- a/wingfall/gateway/knowledge/endpoint_signals.py
+++ b/wingfall/gateway/knowledge/endpoint_signals.py
@@ -165,7 +165,7 @@
         if endpoint not in self._leaving:
             self._add_leaving(endpoint, reported.heard_ms, reported.told_by)
 
-    def take_untold(self) -> set[str]:
+    def take_unreported(self) -> set[str]:
         """Return and clear the endpoints with unreported signals.
 
         :returns: names of the endpoints.
--- a/wingfall/gateway/knowledge/engine_speeds.py
+++ b/wingfall/gateway/knowledge/engine_speeds.py
@@ -56,7 +56,7 @@
     def merge_reported(self, engine: str, pool: str, rates: list[int]) -> None:
         """Merge samples that another gateway reported."""
 
-    def take_untold(self) -> list[list[Any]]:
+    def take_unreported(self) -> list[list[Any]]:
         """Return and clear the samples not yet reported to peers."""
 
     def write_all(self) -> list[list[Any]]:
--- a/wingfall/gateway/knowledge/full_gaps.py
+++ b/wingfall/gateway/knowledge/full_gaps.py
@@ -96,7 +96,7 @@
                 break
             self._samples.popleft()
 
-    def take_untold(self) -> list[int]:
+    def take_unreported(self) -> list[int]:
         """Return and clear the gaps not yet reported to other gateways.
 
         :returns: the gaps in milliseconds.
@@ -143,7 +143,7 @@
         for gap_ms in gaps_ms:
             self.find(engine).add(gap_ms)
 
-    def take_untold(self) -> list[list[Any]]:
+    def take_unreported(self) -> list[list[Any]]:
         """Return and clear the gaps not yet reported to other gateways.
 
         :returns: for each engine its name and gaps in milliseconds; empty if
@@ -152,7 +152,7 @@
         if not self._reports_gaps:
             return []
         unreported = [
-            [engine, *window.take_untold()]
+            [engine, *window.take_unreported()]
             for engine, window in self._windows.items()
         ]
         return [entry for entry in unreported if len(entry) > 1]
--- a/wingfall/gateway/knowledge/own_rates.py
+++ b/wingfall/gateway/knowledge/own_rates.py
@@ -102,7 +102,7 @@
         :param rates: the reported rates.
         """
 
-    def take_untold(self) -> list[list[Any]]:
+    def take_unreported(self) -> list[list[Any]]:
         """Return no samples to report.
 
         :returns: an empty list.
--- a/wingfall/gateway/knowledge/shared_rates.py
+++ b/wingfall/gateway/knowledge/shared_rates.py
@@ -245,7 +245,7 @@
                 shared.window.note(rate, now_ms)
         shared.note_change()
 
-    def take_untold(self) -> list[list[Any]]:
+    def take_unreported(self) -> list[list[Any]]:
         """Return and clear the samples that were not reported to peers.
 
         :returns: for each engine its name and the rates in wire format.
--- a/wingfall/gateway/knowledge/sized_rates.py
+++ b/wingfall/gateway/knowledge/sized_rates.py
@@ -147,12 +147,12 @@
         self.find(engine, pool)
         self._shared.merge_reported(engine, pool, rates)
 
-    def take_untold(self) -> list[list[Any]]:
+    def take_unreported(self) -> list[list[Any]]:
         """Return and clear the samples that were not reported to peers.
 
         :returns: for each engine its name and the rates in wire format.
         """
-        return self._shared.take_untold()
+        return self._shared.take_unreported()
 
     def write_all(self) -> list[list[Any]]:
         """Encode the shared rates for a gateway that starts.
--- a/wingfall/gateway/peers/crash_exchange.py
+++ b/wingfall/gateway/peers/crash_exchange.py
@@ -77,7 +77,7 @@
         """Wait for entries that this gateway has not sent."""
         self._ledger.updates_available.wait()
 
-    def take_untold(self) -> CrashUpdates:
+    def take_unreported(self) -> CrashUpdates:
         """Return and clear the entries that were not sent yet.
 
         :returns: the updates.
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -131,9 +131,9 @@
         activity = Activity(
             sent=[encode_sent_prompt(each) for each in sent],
             outcomes=encode_outcomes(outcomes),
-            readings=self._knowledge.speeds.rates.take_untold(),
-            work=self._knowledge.customer_work.take_untold(),
-            gaps=self._knowledge.full_gaps.take_untold(),
+            readings=self._knowledge.speeds.rates.take_unreported(),
+            work=self._knowledge.customer_work.take_unreported(),
+            gaps=self._knowledge.full_gaps.take_unreported(),
         )
         self._relay.add_activity(activity)
         return activity
--- a/wingfall/gateway/peers/news_exchange.py
+++ b/wingfall/gateway/peers/news_exchange.py
@@ -85,9 +85,9 @@
         """
         if kind is NewsKind.crashes:
             self._crashes.wait()
-            return PeerUpdates(crashes=self._crashes.take_untold())
+            return PeerUpdates(crashes=self._crashes.take_unreported())
         self._signals.wait()
-        return PeerUpdates(signals=self._signals.take_untold())
+        return PeerUpdates(signals=self._signals.take_unreported())
 
     def write_all(self) -> PeerUpdates:
         """Return all known entries, for a new session.
--- a/wingfall/gateway/peers/signal_exchange.py
+++ b/wingfall/gateway/peers/signal_exchange.py
@@ -77,12 +77,12 @@
         """Wait for entries that this gateway has not sent."""
         self._signals.updates_available.wait()
 
-    def take_untold(self) -> SignalUpdates:
+    def take_unreported(self) -> SignalUpdates:
         """Return and clear the entries that were not sent yet.
 
         :returns: the updates.
         """
-        return self._encode(self._signals.take_untold())
+        return self._encode(self._signals.take_unreported())
 
     def write_all(self) -> SignalUpdates:
         """Return all known entries, for a new session.
