--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -56,11 +56,11 @@
 def test_news_are_told_once(ledger: CrashLedger, clock: ManualClock):
     record_crash(ledger, clock, 'e1', b'a')
     record_crash(ledger, clock, 'e1', b'b')
-    (reported,) = ledger.take_untold_crashes()
+    (reported,) = ledger.take_unreported_crashes()
     assert reported.suspects == {b'a', b'b'}
-    assert not ledger.take_untold_crashes()
+    assert not ledger.take_unreported_crashes()
     record_crash(ledger, clock, 'e1', b'b', b'c')
-    (reported,) = ledger.take_untold_crashes()
+    (reported,) = ledger.take_unreported_crashes()
     assert reported.suspects == {b'c'}
 
 
@@ -72,7 +72,7 @@
     )
     assert ledger.take_crash(crash) is not None
     assert ledger.take_crash(crash) is None
-    assert not ledger.take_untold_crashes()
+    assert not ledger.take_unreported_crashes()
 
 
 def test_those_who_know_the_same_have_the_same_sum(clock: ManualClock):
--- a/wingfall/gateway/knowledge/crash_ledger.py
+++ b/wingfall/gateway/knowledge/crash_ledger.py
@@ -185,7 +185,7 @@
         if fingerprint in self._last_crash_ms:
             self._set_served(fingerprint, served_ms)
 
-    def take_untold_crashes(self) -> list[EndpointCrash]:
+    def take_unreported_crashes(self) -> list[EndpointCrash]:
         """Return and clear the crashes not yet reported to peers.
 
         :returns: the crashes, each with its new suspects.
