--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -148,10 +148,10 @@
     clock.advance(5)
     ledger.note_served(b'a')
     assert ledger.served_ms == {b'a': clock.now_ms()}
-    assert ledger.take_untold_served() == {b'a': clock.now_ms()}
+    assert ledger.take_unreported_served() == {b'a': clock.now_ms()}
     clock.advance(5)
     ledger.note_served(b'a')
-    assert not ledger.take_untold_served()
+    assert not ledger.take_unreported_served()
 
 
 def test_good_answer_before_a_crash_is_remembered(
@@ -161,7 +161,7 @@
     served_ms = clock.now_ms()
     clock.advance(1000)
     record_crash(ledger, clock, 'e1', b'a')
-    assert ledger.take_untold_served() == {b'a': served_ms}
+    assert ledger.take_unreported_served() == {b'a': served_ms}
 
 
 def test_good_answer_of_long_ago_says_nothing(
--- a/wingfall/gateway/knowledge/crash_ledger.py
+++ b/wingfall/gateway/knowledge/crash_ledger.py
@@ -194,7 +194,7 @@
         self._unreported_crashes = {}
         return unreported
 
-    def take_untold_served(self) -> dict[Fingerprint, int]:
+    def take_unreported_served(self) -> dict[Fingerprint, int]:
         """Return and clear the successful answers not yet reported to peers.
 
         :returns: the time of each answer, by this gateway's clock.
--- a/wingfall/gateway/peers/crash_exchange.py
+++ b/wingfall/gateway/peers/crash_exchange.py
@@ -85,7 +85,7 @@
         self._ledger.updates_available.clear()
         return self._encode(
             self._ledger.take_unreported_crashes(),
-            self._ledger.take_untold_served(),
+            self._ledger.take_unreported_served(),
         )
 
     def write_all(self) -> CrashUpdates:
