--- a/tests/test_customer_work.py
+++ b/tests/test_customer_work.py
@@ -54,7 +54,7 @@
 
 
 def test_work_that_was_told_is_not_told_again(work: CustomerWork):
-    work.take_from_peer(POOL, 'aker', 4000, 2000)
+    work.merge_from_peer(POOL, 'aker', 4000, 2000)
     assert requested_work(work, 'aker') == 4000
     assert not work.take_unreported()
 
@@ -79,7 +79,7 @@
 def test_work_is_settled_once_it_was_heard_of_for_a_half_life(
     work: CustomerWork, clock: ManualClock
 ):
-    work.take_from_peer(POOL, 'aker', 4000, 4000)
+    work.merge_from_peer(POOL, 'aker', 4000, 4000)
     assert not work.is_settled(POOL)
     clock.advance(HALF_LIFE_MS)
     assert work.is_settled(POOL)
--- a/tests/test_endpoint_health.py
+++ b/tests/test_endpoint_health.py
@@ -66,22 +66,22 @@
     unreported = reporter.take_unsent()
     assert (unreported['one'].failed, unreported['one'].served) == (6, 1)
     assert not reporter.take_unsent()
-    receiver.take_from_peer('one', unreported['one'])
+    receiver.merge_from_peer('one', unreported['one'])
     assert reporter.failing('one') > receiver.failing('one')
     assert round(receiver.failing('one') * 10) == 4
 
 
 def test_what_peers_are_served_ends_failures(clock: ManualClock):
     health = EndpointHealth(clock=clock)
-    health.take_from_peer('one', Outcomes(failed=10))
+    health.merge_from_peer('one', Outcomes(failed=10))
     failure_rate = health.failing('one')
-    health.take_from_peer('one', Outcomes(served=10))
+    health.merge_from_peer('one', Outcomes(served=10))
     assert health.failing('one') < failure_rate / 2
-    health.take_from_peer('two', Outcomes(served=10))
+    health.merge_from_peer('two', Outcomes(served=10))
     assert not health.failing('two')
 
 
 def test_what_is_heard_is_not_told_again(clock: ManualClock):
     health = EndpointHealth(clock=clock)
-    health.take_from_peer('one', Outcomes(failed=3))
+    health.merge_from_peer('one', Outcomes(failed=3))
     assert not health.take_unsent()
--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -163,7 +163,7 @@
     """Record work of this gateway and of a peer at an endpoint."""
     known.load.start(name, EndpointLoad(running=1, reading_tokens=90))
     work = [(name, EndpointLoad(running=2))]
-    known.load.take_from_peer('peer', work, whole=False)
+    known.load.merge_from_peer('peer', work, whole=False)
 
 
 def add_failures(known: EndpointKnowledge, name: str) -> None:
--- a/tests/test_fair_admission.py
+++ b/tests/test_fair_admission.py
@@ -157,7 +157,7 @@
             gaps_ms=[],
         )
         self.knowledge = self.gateway.knowledge
-        self.knowledge.customer_work.take_from_peer(POOL, 'long ago', 0, 0)
+        self.knowledge.customer_work.merge_from_peer(POOL, 'long ago', 0, 0)
         clock.advance(2000)
         for number in range(1, engines + 1):
             self.knowledge.table.put(
--- a/tests/test_gateway_load.py
+++ b/tests/test_gateway_load.py
@@ -68,13 +68,13 @@
 def test_load_adds_up_over_peers():
     table = LoadTable()
     table.start('one', EndpointLoad(running=1))
-    table.take_from_peer('peer', [('one', EndpointLoad(running=2))], whole=True)
+    table.merge_from_peer('peer', [('one', EndpointLoad(running=2))], whole=True)
     assert table.total('one').running == 3
-    table.take_from_peer(
+    table.merge_from_peer(
         'peer', [('two', EndpointLoad(running=1))], whole=False
     )
     assert table.total('one').running == 3
-    table.take_from_peer('peer', [('two', EndpointLoad(running=1))], whole=True)
+    table.merge_from_peer('peer', [('two', EndpointLoad(running=1))], whole=True)
     assert table.total('one').running == 1
     table.remove_peer('peer')
     assert table.total('one').running == 1
@@ -83,14 +83,14 @@
 def test_work_that_a_peer_has_ended_is_gone():
     table = LoadTable()
     for peer in ('a', 'b'):
-        table.take_from_peer(
+        table.merge_from_peer(
             peer, [('one', EndpointLoad(running=2))], whole=True
         )
-    table.take_from_peer('a', [('one', EndpointLoad())], whole=False)
+    table.merge_from_peer('a', [('one', EndpointLoad())], whole=False)
     assert table.total('one').running == 2
-    table.take_from_peer('b', [('one', EndpointLoad(running=5))], whole=False)
+    table.merge_from_peer('b', [('one', EndpointLoad(running=5))], whole=False)
     assert table.total('one').running == 5
-    table.take_from_peer('b', [], whole=True)
+    table.merge_from_peer('b', [], whole=True)
     assert table.total('one').running == 0
 
 
@@ -115,7 +115,7 @@
     table = LoadTable()
     entry = table.start('one', EndpointLoad(running=1, streams={200: 1}))
     table.start('one', EndpointLoad(running=1, streams={200: 1, 300: 1}))
-    table.take_from_peer(
+    table.merge_from_peer(
         'p', [('one', EndpointLoad(running=1, streams={300: 2}))], whole=True
     )
     assert table.total('one').streams == {200: 2, 300: 3}
--- a/wingfall/gateway/knowledge/customer_work.py
+++ b/wingfall/gateway/knowledge/customer_work.py
@@ -176,7 +176,7 @@
         self._unreported.setdefault((pool, customer), Work()).add(work)
         self._add(pool, customer, work)
 
-    def take_from_peer(
+    def merge_from_peer(
         self, pool: str, customer: str, asked: int, given: int
     ) -> None:
         """Merge work that another gateway reports.
--- a/wingfall/gateway/knowledge/endpoint_health.py
+++ b/wingfall/gateway/knowledge/endpoint_health.py
@@ -128,7 +128,7 @@
         self._unreported = {}
         return unreported
 
-    def take_from_peer(self, name: str, outcomes: Outcomes) -> None:
+    def merge_from_peer(self, name: str, outcomes: Outcomes) -> None:
         """Merge outcomes that a peer reported.
 
         :param name: name of the endpoint.
--- a/wingfall/gateway/knowledge/load.py
+++ b/wingfall/gateway/knowledge/load.py
@@ -148,7 +148,7 @@
         if own.is_idle:
             self._own.pop(endpoint)
 
-    def take_from_peer(
+    def merge_from_peer(
         self,
         peer: str,
         loads: Iterable[tuple[str, EndpointLoad]],
--- a/wingfall/gateway/peers/loads/load_entries.py
+++ b/wingfall/gateway/peers/loads/load_entries.py
@@ -146,7 +146,7 @@
     # Ignores fields that later versions append.
     for pool, customer, asked, given, *_newer_fields in activity.work:
         if asked >= 0 and given >= 0:
-            knowledge.customer_work.take_from_peer(pool, customer, asked, given)
+            knowledge.customer_work.merge_from_peer(pool, customer, asked, given)
 
 
 def without_estimates(readings: Iterable[list[Any]]) -> list[list[Any]]:
@@ -161,7 +161,7 @@
 def _record_outcomes(activity: Activity, knowledge: EndpointKnowledge) -> None:
     for name, failed, served in activity.outcomes:
         outcomes = Outcomes(failed=failed, served=served)
-        knowledge.health.take_from_peer(name, outcomes)
+        knowledge.health.merge_from_peer(name, outcomes)
 
 
 def _record_sent_prompts(
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -153,7 +153,7 @@
         :param activity: activity since the last heartbeat of the peer.
         :param whole: whether the peer has no load at other endpoints.
         """
-        self._knowledge.load.take_from_peer(
+        self._knowledge.load.merge_from_peer(
             session.name, decode_loads(loads), whole=whole
         )
         note_activity(activity, self._knowledge)
@@ -178,7 +178,7 @@
             return
         self._zone_seen_ms[zone_loads.zone] = self._clock.now_ms()
         source = _source(zone_loads.zone)
-        self._knowledge.load.take_from_peer(
+        self._knowledge.load.merge_from_peer(
             source,
             decode_loads(zone_loads.loads),
             whole=zone_loads.whole,
