--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -24,7 +24,7 @@
     return EndpointCrash(
         endpoint=f'e{number}',
         crashed_ms=number * 1000 if at_ms is None else at_ms,
-        told_by='g',
+        reported_by='g',
         silent=silent,
         streaming=streaming,
     )
--- a/tests/test_crash_exchange.py
+++ b/tests/test_crash_exchange.py
@@ -26,12 +26,12 @@
     return gateway._state.knowledge.crashes
 
 
-def crash(endpoint: str, *, at_ms: int, told_by: str = 'g1') -> EndpointCrash:
+def crash(endpoint: str, *, at_ms: int, reported_by: str = 'g1') -> EndpointCrash:
     """Return a crash with one suspect request."""
     return EndpointCrash(
         endpoint=endpoint,
         crashed_ms=at_ms,
-        told_by=told_by,
+        reported_by=reported_by,
         silent=[REQUEST],
     )
 
@@ -67,7 +67,7 @@
     for other in others:
         (known,) = ledger_of(other).crashes
         assert known.silent == {REQUEST}
-        assert known.told_by == 'g1'
+        assert known.reported_by == 'g1'
         assert abs(known.crashed_ms - now_ms) < 1000
 
 
@@ -86,7 +86,7 @@
     second = gateway_site.start_gateway()
     wait_until(lambda: second._peers.names)
     # The gateway that observed the crash has no session with the second one.
-    received = crash('e1', at_ms=first._clock.now_ms(), told_by='gone')
+    received = crash('e1', at_ms=first._clock.now_ms(), reported_by='gone')
     ledger_of(first).take_crash(received)
     wait_until(lambda: ledger_of(second).crashes)
 
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -36,7 +36,7 @@
         EndpointCrash(
             endpoint=endpoint,
             crashed_ms=clock.now_ms(),
-            told_by='g1',
+            reported_by='g1',
             silent=silent,
             streaming=streaming,
         )
@@ -68,7 +68,7 @@
     ledger: CrashLedger, clock: ManualClock
 ):
     crash = EndpointCrash(
-        endpoint='e1', crashed_ms=clock.now_ms(), told_by='g2', silent=[b'a']
+        endpoint='e1', crashed_ms=clock.now_ms(), reported_by='g2', silent=[b'a']
     )
     assert ledger.take_crash(crash) is not None
     assert ledger.take_crash(crash) is None
@@ -104,7 +104,7 @@
         EndpointCrash(
             endpoint='e1',
             crashed_ms=clock.now_ms(),
-            told_by='g2',
+            reported_by='g2',
             silent=[b'seen by another'],
         )
     )
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -66,7 +66,7 @@
     (crash,) = knowledge.crashes.crashes
     assert crash.silent == {b'waits'}
     assert crash.streaming == {b'begun'}
-    assert crash.told_by == 'g1'
+    assert crash.reported_by == 'g1'
 
 
 @pytest.mark.parametrize('linger_s', [None, 0], ids=['closes', 'resets'])
--- a/tests/test_endpoint_signals.py
+++ b/tests/test_endpoint_signals.py
@@ -34,7 +34,7 @@
         sent_ms=sent_ms,
         heard_ms=heard_ms,
         changed_ms=heard_ms,
-        told_by='g2',
+        reported_by='g2',
     )
 
 
--- a/tests/test_request_blocks.py
+++ b/tests/test_request_blocks.py
@@ -24,7 +24,7 @@
             EndpointCrash(
                 endpoint=name,
                 crashed_ms=clock.now_ms(),
-                told_by='g1',
+                reported_by='g1',
                 silent=[REQUEST],
             )
         )
@@ -64,7 +64,7 @@
             EndpointCrash(
                 endpoint=name,
                 crashed_ms=clock.now_ms(),
-                told_by='g1',
+                reported_by='g1',
                 silent=[REQUEST, other],
             )
         )
@@ -84,7 +84,7 @@
             EndpointCrash(
                 endpoint=name,
                 crashed_ms=clock.now_ms(),
-                told_by='g1',
+                reported_by='g1',
                 silent=[REQUEST, b'was there too'],
             )
         )
@@ -103,7 +103,7 @@
         EndpointCrash(
             endpoint=name,
             crashed_ms=clock.now_ms(),
-            told_by='g1',
+            reported_by='g1',
             silent=requests,
         )
     )
@@ -188,7 +188,7 @@
             EndpointCrash(
                 endpoint=name,
                 crashed_ms=crashed_ms,
-                told_by='g1',
+                reported_by='g1',
                 silent=[REQUEST],
             )
         )
@@ -254,7 +254,7 @@
     for name in ('e1', 'e2', 'e3'):
         ledger.note_crash(
             EndpointCrash(
-                endpoint=name, crashed_ms=0, told_by='g1', silent=[b'']
+                endpoint=name, crashed_ms=0, reported_by='g1', silent=[b'']
             )
         )
     assert blocks.find_block(b'') is None
--- a/wingfall/gateway/endpoints/crash_watch.py
+++ b/wingfall/gateway/endpoints/crash_watch.py
@@ -145,7 +145,7 @@
             EndpointCrash(
                 endpoint=endpoint.name,
                 crashed_ms=broken.first_broken_ms,
-                told_by=self._name,
+                reported_by=self._name,
                 silent=broken.silent,
                 streaming=broken.streaming - broken.silent,
             ),
--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -233,7 +233,7 @@
                 'limit': limit.rate,
                 'own_part': self._share(name, limit.rate),
                 'age_ms': now_ms - limit.changed_ms,
-                'told_by': limit.told_by,
+                'told_by': limit.reported_by,
             }
             for name, limit in sorted(self._signals.limits.items())
             if limit.rate is not None
--- a/wingfall/gateway/knowledge/endpoint_signals.py
+++ b/wingfall/gateway/knowledge/endpoint_signals.py
@@ -163,7 +163,7 @@
         :param reported: leaving signal from the peer.
         """
         if endpoint not in self._leaving:
-            self._add_leaving(endpoint, reported.heard_ms, reported.told_by)
+            self._add_leaving(endpoint, reported.heard_ms, reported.reported_by)
 
     def take_unreported(self) -> set[str]:
         """Return and clear the endpoints with unreported signals.
@@ -209,7 +209,7 @@
             sent_ms=sent_ms,
             heard_ms=now_ms,
             changed_ms=now_ms,
-            told_by=self._name,
+            reported_by=self._name,
         )
         if not self._merge_limit(endpoint, limit):
             return []
@@ -246,18 +246,18 @@
         self._log_signal(
             sentence,
             endpoint,
-            newer.told_by,
+            newer.reported_by,
             newer.heard_ms,
             rate=newer.rate,
             before=known.rate if known else None,
         )
         return True
 
-    def _add_leaving(self, endpoint: str, heard_ms: int, told_by: str) -> None:
-        leaving = EndpointLeaving(heard_ms=heard_ms, told_by=told_by)
+    def _add_leaving(self, endpoint: str, heard_ms: int, reported_by: str) -> None:
+        leaving = EndpointLeaving(heard_ms=heard_ms, reported_by=reported_by)
         _put(self._leaving, endpoint, leaving)
         self._digest = None
-        self._log_signal('An endpoint is leaving.', endpoint, told_by, heard_ms)
+        self._log_signal('An endpoint is leaving.', endpoint, reported_by, heard_ms)
 
     def _mark_unreported(self, endpoint: str) -> None:
         self._unreported.add(endpoint)
@@ -267,7 +267,7 @@
         self,
         sentence: str,
         endpoint: str,
-        told_by: str,
+        reported_by: str,
         heard_ms: int,
         **fields: Any,
     ) -> None:
@@ -275,7 +275,7 @@
             'signals',
             sentence,
             endpoint=endpoint,
-            told_by=told_by,
+            told_by=reported_by,
             age_ms=self._clock.now_ms() - heard_ms,
             **fields,
         )
--- a/wingfall/gateway/knowledge/lost_gateways.py
+++ b/wingfall/gateway/knowledge/lost_gateways.py
@@ -67,4 +67,4 @@
         :returns: whether there may be such requests.
         """
         since_ms = crash.crashed_ms - self._lost_ms[name]
-        return abs(since_ms) <= _UNREPORTED_MS and name != crash.told_by
+        return abs(since_ms) <= _UNREPORTED_MS and name != crash.reported_by
--- a/wingfall/gateway/model/endpoint_crash.py
+++ b/wingfall/gateway/model/endpoint_crash.py
@@ -20,7 +20,7 @@
         'incomplete',
         'silent',
         'streaming',
-        'told_by',
+        'reported_by',
     )
 
     def __init__(
@@ -28,7 +28,7 @@
         *,
         endpoint: str,
         crashed_ms: int,
-        told_by: str,
+        reported_by: str,
         silent: Iterable[Fingerprint] = (),
         streaming: Iterable[Fingerprint] = (),
     ) -> None:
@@ -36,13 +36,13 @@
 
         :param endpoint: name of the incarnation that crashed.
         :param crashed_ms: when, a reading of this gateway's clock.
-        :param told_by: the gateway that was the first to tell of it.
+        :param reported_by: the gateway that was the first to tell of it.
         :param silent: requests there that had no output.
         :param streaming: requests there whose output had just begun.
         """
         self.endpoint = endpoint
         self.crashed_ms = crashed_ms
-        self.told_by = told_by
+        self.reported_by = reported_by
         self.silent = set(silent)
         self.streaming = set(streaming)
         # Whether a gateway was lost at about that time, which may have had
@@ -71,7 +71,7 @@
         return EndpointCrash(
             endpoint=self.endpoint,
             crashed_ms=self.crashed_ms,
-            told_by=self.told_by,
+            reported_by=self.reported_by,
             silent=self.silent & suspects,
             streaming=self.streaming & suspects - self.silent,
         )
--- a/wingfall/gateway/model/endpoint_leaving.py
+++ b/wingfall/gateway/model/endpoint_leaving.py
@@ -9,13 +9,13 @@
 class EndpointLeaving:
     """Who heard it, and when by this gateway's clock."""
 
-    __slots__ = ('heard_ms', 'told_by')
+    __slots__ = ('heard_ms', 'reported_by')
 
-    def __init__(self, *, heard_ms: int, told_by: str) -> None:
+    def __init__(self, *, heard_ms: int, reported_by: str) -> None:
         """Describe a leaving.
 
         :param heard_ms: when the first answer said so.
-        :param told_by: the gateway that had the answer.
+        :param reported_by: the gateway that had the answer.
         """
         self.heard_ms = heard_ms
-        self.told_by = told_by
+        self.reported_by = reported_by
--- a/wingfall/gateway/model/endpoint_limit.py
+++ b/wingfall/gateway/model/endpoint_limit.py
@@ -13,7 +13,7 @@
     All times are readings of this gateway's clock in milliseconds.
     """
 
-    __slots__ = ('changed_ms', 'heard_ms', 'rate', 'sent_ms', 'told_by')
+    __slots__ = ('changed_ms', 'heard_ms', 'rate', 'sent_ms', 'reported_by')
 
     def __init__(
         self,
@@ -22,7 +22,7 @@
         sent_ms: int,
         heard_ms: int,
         changed_ms: int,
-        told_by: str,
+        reported_by: str,
     ) -> None:
         """Describe a limit.
 
@@ -31,13 +31,13 @@
         :param sent_ms: when the request of that answer was sent.
         :param heard_ms: when its head came.
         :param changed_ms: when this rate was first heard.
-        :param told_by: the gateway that had the answer.
+        :param reported_by: the gateway that had the answer.
         """
         self.rate = rate
         self.sent_ms = sent_ms
         self.heard_ms = heard_ms
         self.changed_ms = changed_ms
-        self.told_by = told_by
+        self.reported_by = reported_by
 
 
 def choose_newer(known: EndpointLimit, told: EndpointLimit) -> EndpointLimit:
--- a/wingfall/gateway/peers/crash_exchange.py
+++ b/wingfall/gateway/peers/crash_exchange.py
@@ -134,12 +134,12 @@
         :param updates: the updates.
         """
         now_ms = self._clock.now_ms()
-        for endpoint, age_ms, told_by, silent, streaming in updates.crashes:
+        for endpoint, age_ms, reported_by, silent, streaming in updates.crashes:
             self._ledger.take_crash(
                 EndpointCrash(
                     endpoint=endpoint,
                     crashed_ms=now_ms - age_ms,
-                    told_by=told_by,
+                    reported_by=reported_by,
                     silent=_decode_fingerprints(silent),
                     streaming=_decode_fingerprints(streaming),
                 ),
@@ -159,7 +159,7 @@
                 [
                     crash.endpoint,
                     now_ms - crash.crashed_ms,
-                    crash.told_by,
+                    crash.reported_by,
                     sorted(crash.silent),
                     sorted(crash.streaming),
                 ]
--- a/wingfall/gateway/peers/signal_exchange.py
+++ b/wingfall/gateway/peers/signal_exchange.py
@@ -125,8 +125,8 @@
         now_ms = self._clock.now_ms()
         for endpoint, *encoded in updates.limits:
             self._signals.take_limit(endpoint, _decode_limit(encoded, now_ms))
-        for endpoint, age_ms, told_by in updates.leavings:
-            leaving = EndpointLeaving(heard_ms=now_ms - age_ms, told_by=told_by)
+        for endpoint, age_ms, reported_by in updates.leavings:
+            leaving = EndpointLeaving(heard_ms=now_ms - age_ms, reported_by=reported_by)
             self._signals.take_leaving(endpoint, leaving)
         self._anti_entropy.note_state(self._signals.recent_sum)
 
@@ -141,7 +141,7 @@
                 if name in limits
             ],
             leavings=[
-                [name, now_ms - leaving[name].heard_ms, leaving[name].told_by]
+                [name, now_ms - leaving[name].heard_ms, leaving[name].reported_by]
                 for name in names
                 if name in leaving
             ],
@@ -149,14 +149,14 @@
 
 
 def _decode_limit(encoded: list[Any], now_ms: int) -> EndpointLimit:
-    rate, *ages_ms, told_by = encoded
+    rate, *ages_ms, reported_by = encoded
     changed_ms, sent_ms, heard_ms = (now_ms - age_ms for age_ms in ages_ms)
     return EndpointLimit(
         rate=rate,
         sent_ms=sent_ms,
         heard_ms=heard_ms,
         changed_ms=changed_ms,
-        told_by=told_by,
+        reported_by=reported_by,
     )
 
 
@@ -167,5 +167,5 @@
         now_ms - limit.changed_ms,
         now_ms - limit.sent_ms,
         now_ms - limit.heard_ms,
-        limit.told_by,
+        limit.reported_by,
     ]
--- a/wingfall/gateway/rules/crashes/request_blocks.py
+++ b/wingfall/gateway/rules/crashes/request_blocks.py
@@ -194,7 +194,7 @@
                 crashes=len(crashes),
                 endpoints=[crash.endpoint for crash in crashes],
                 ages_ms=[now_ms - crash.crashed_ms for crash in crashes],
-                told_by=sorted({crash.told_by for crash in crashes}),
+                told_by=sorted({crash.reported_by for crash in crashes}),
             )
         for fingerprint in previous.keys() - self._causes.keys():
             self._last_trial_ms.pop(fingerprint, None)
