--- a/tests/test_endpoint_signals.py
+++ b/tests/test_endpoint_signals.py
@@ -26,14 +26,14 @@
 
 
 def make_limit(
-    rate: float | None, sent_ms: int, heard_ms: int
+    rate: float | None, sent_ms: int, received_ms: int
 ) -> EndpointLimit:
     """Return a limit received from an answer."""
     return EndpointLimit(
         rate=rate,
         sent_ms=sent_ms,
-        heard_ms=heard_ms,
-        changed_ms=heard_ms,
+        received_ms=received_ms,
+        changed_ms=received_ms,
         reported_by='g2',
     )
 
--- a/tests/test_signal_exchange.py
+++ b/tests/test_signal_exchange.py
@@ -52,7 +52,7 @@
     clock.advance(70)
     receiver.merge(sender.take_unreported())
     limit = peer_signals.limits['e1']
-    assert (limit.rate, limit.reported_by, limit.heard_ms) == (2, 'g1', 100_000)
+    assert (limit.rate, limit.reported_by, limit.received_ms) == (2, 'g1', 100_000)
     assert peer_signals.leaving['e1'].reported_by == 'g1'
     assert receiver.recent_sum == sender.recent_sum
     # Signals received from a peer are not forwarded.
--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -274,7 +274,7 @@
         now_ms: int,
     ) -> bool:
         jitter = draw_part(self._name, endpoint)
-        if now_ms < limit.heard_ms + jitter * _RETURN_SPREAD_MS:
+        if now_ms < limit.received_ms + jitter * _RETURN_SPREAD_MS:
             return True
         self._token_buckets.pop(endpoint, None)
         return False
--- a/wingfall/gateway/knowledge/endpoint_signals.py
+++ b/wingfall/gateway/knowledge/endpoint_signals.py
@@ -114,7 +114,7 @@
         recent.update(
             name
             for name, leaving in self._leaving.items()
-            if leaving.heard_ms > oldest_ms
+            if leaving.received_ms > oldest_ms
         )
         return recent
 
@@ -163,7 +163,7 @@
         :param reported: leaving signal from the peer.
         """
         if endpoint not in self._leaving:
-            self._add_leaving(endpoint, reported.heard_ms, reported.reported_by)
+            self._add_leaving(endpoint, reported.received_ms, reported.reported_by)
 
     def take_unreported(self) -> set[str]:
         """Return and clear the endpoints with unreported signals.
@@ -185,13 +185,13 @@
         self._limits = {
             name: limit
             for name, limit in self._limits.items()
-            if limit.heard_ms >= oldest_ms
+            if limit.received_ms >= oldest_ms
             or (name in listed and limit.rate is not None)
         }
         self._leaving = {
             name: leaving
             for name, leaving in self._leaving.items()
-            if leaving.heard_ms >= oldest_ms or name in listed
+            if leaving.received_ms >= oldest_ms or name in listed
         }
 
     def _note_limit(
@@ -207,7 +207,7 @@
         limit = EndpointLimit(
             rate=rate,
             sent_ms=sent_ms,
-            heard_ms=now_ms,
+            received_ms=now_ms,
             changed_ms=now_ms,
             reported_by=self._name,
         )
@@ -247,17 +247,17 @@
             sentence,
             endpoint,
             newer.reported_by,
-            newer.heard_ms,
+            newer.received_ms,
             rate=newer.rate,
             before=known.rate if known else None,
         )
         return True
 
-    def _add_leaving(self, endpoint: str, heard_ms: int, reported_by: str) -> None:
-        leaving = EndpointLeaving(heard_ms=heard_ms, reported_by=reported_by)
+    def _add_leaving(self, endpoint: str, received_ms: int, reported_by: str) -> None:
+        leaving = EndpointLeaving(received_ms=received_ms, reported_by=reported_by)
         _put(self._leaving, endpoint, leaving)
         self._digest = None
-        self._log_signal('An endpoint is leaving.', endpoint, reported_by, heard_ms)
+        self._log_signal('An endpoint is leaving.', endpoint, reported_by, received_ms)
 
     def _mark_unreported(self, endpoint: str) -> None:
         self._unreported.add(endpoint)
@@ -268,7 +268,7 @@
         sentence: str,
         endpoint: str,
         reported_by: str,
-        heard_ms: int,
+        received_ms: int,
         **fields: Any,
     ) -> None:
         log_event(
@@ -276,7 +276,7 @@
             sentence,
             endpoint=endpoint,
             told_by=reported_by,
-            age_ms=self._clock.now_ms() - heard_ms,
+            age_ms=self._clock.now_ms() - received_ms,
             **fields,
         )
 
--- a/wingfall/gateway/model/endpoint_leaving.py
+++ b/wingfall/gateway/model/endpoint_leaving.py
@@ -9,13 +9,13 @@
 class EndpointLeaving:
     """Who heard it, and when by this gateway's clock."""
 
-    __slots__ = ('heard_ms', 'reported_by')
+    __slots__ = ('received_ms', 'reported_by')
 
-    def __init__(self, *, heard_ms: int, reported_by: str) -> None:
+    def __init__(self, *, received_ms: int, reported_by: str) -> None:
         """Describe a leaving.
 
-        :param heard_ms: when the first answer said so.
+        :param received_ms: when the first answer said so.
         :param reported_by: the gateway that had the answer.
         """
-        self.heard_ms = heard_ms
+        self.received_ms = received_ms
         self.reported_by = reported_by
--- a/wingfall/gateway/model/endpoint_limit.py
+++ b/wingfall/gateway/model/endpoint_limit.py
@@ -13,14 +13,14 @@
     All times are readings of this gateway's clock in milliseconds.
     """
 
-    __slots__ = ('changed_ms', 'heard_ms', 'rate', 'sent_ms', 'reported_by')
+    __slots__ = ('changed_ms', 'received_ms', 'rate', 'sent_ms', 'reported_by')
 
     def __init__(
         self,
         *,
         rate: float | None,
         sent_ms: int,
-        heard_ms: int,
+        received_ms: int,
         changed_ms: int,
         reported_by: str,
     ) -> None:
@@ -29,13 +29,13 @@
         :param rate: requests a second that the endpoint takes from all
             gateways together, None if the answer named no limit.
         :param sent_ms: when the request of that answer was sent.
-        :param heard_ms: when its head came.
+        :param received_ms: when its head came.
         :param changed_ms: when this rate was first heard.
         :param reported_by: the gateway that had the answer.
         """
         self.rate = rate
         self.sent_ms = sent_ms
-        self.heard_ms = heard_ms
+        self.received_ms = received_ms
         self.changed_ms = changed_ms
         self.reported_by = reported_by
 
@@ -51,13 +51,13 @@
     :param told: what another answer said.
     :returns: the one that holds from now on.
     """
-    if told.sent_ms > known.heard_ms:
+    if told.sent_ms > known.received_ms:
         return told
-    if known.sent_ms > told.heard_ms:
+    if known.sent_ms > told.received_ms:
         return known
     known_rate, told_rate = _bound(known), _bound(told)
     if known_rate == told_rate:
-        return max(known, told, key=lambda each: each.heard_ms)
+        return max(known, told, key=lambda each: each.received_ms)
     return told if told_rate < known_rate else known
 
 
--- a/wingfall/gateway/peers/signal_exchange.py
+++ b/wingfall/gateway/peers/signal_exchange.py
@@ -126,7 +126,7 @@
         for endpoint, *encoded in updates.limits:
             self._signals.take_limit(endpoint, _decode_limit(encoded, now_ms))
         for endpoint, age_ms, reported_by in updates.leavings:
-            leaving = EndpointLeaving(heard_ms=now_ms - age_ms, reported_by=reported_by)
+            leaving = EndpointLeaving(received_ms=now_ms - age_ms, reported_by=reported_by)
             self._signals.take_leaving(endpoint, leaving)
         self._anti_entropy.note_state(self._signals.recent_sum)
 
@@ -141,7 +141,7 @@
                 if name in limits
             ],
             leavings=[
-                [name, now_ms - leaving[name].heard_ms, leaving[name].reported_by]
+                [name, now_ms - leaving[name].received_ms, leaving[name].reported_by]
                 for name in names
                 if name in leaving
             ],
@@ -150,11 +150,11 @@
 
 def _decode_limit(encoded: list[Any], now_ms: int) -> EndpointLimit:
     rate, *ages_ms, reported_by = encoded
-    changed_ms, sent_ms, heard_ms = (now_ms - age_ms for age_ms in ages_ms)
+    changed_ms, sent_ms, received_ms = (now_ms - age_ms for age_ms in ages_ms)
     return EndpointLimit(
         rate=rate,
         sent_ms=sent_ms,
-        heard_ms=heard_ms,
+        received_ms=received_ms,
         changed_ms=changed_ms,
         reported_by=reported_by,
     )
@@ -166,6 +166,6 @@
         limit.rate,
         now_ms - limit.changed_ms,
         now_ms - limit.sent_ms,
-        now_ms - limit.heard_ms,
+        now_ms - limit.received_ms,
         limit.reported_by,
     ]
