--- a/tests/test_crash_exchange.py
+++ b/tests/test_crash_exchange.py
@@ -138,7 +138,7 @@
     exchange: CrashExchange, clock: ManualClock
 ):
     clock.advance(SETTLE_TIME_MS)
-    assert exchange.answer_digest(session(), exchange.recent_sum, 1).is_empty
+    assert exchange.answer_digest(session(), exchange.recent_digest, 1).is_empty
     assert not exchange.answer_digest(session(), 0, 1).is_empty
 
 
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -78,10 +78,10 @@
 def test_those_who_know_the_same_have_the_same_sum(clock: ManualClock):
     first, second = CrashLedger(clock=clock), CrashLedger(clock=clock)
     record_crash(first, clock, 'e1', b'a', b'b')
-    assert first.recent_sum != second.recent_sum
+    assert first.recent_digest != second.recent_digest
     record_crash(second, clock, 'e1', b'b')
     record_crash(second, clock, 'e1', b'a')
-    assert first.recent_sum == second.recent_sum
+    assert first.recent_digest == second.recent_digest
 
 
 def test_flood_of_requests_hides_none_that_comes_again(
--- a/tests/test_endpoint_signals.py
+++ b/tests/test_endpoint_signals.py
@@ -88,11 +88,11 @@
     one = EndpointSignals(name='g1', clock=clock)
     other = EndpointSignals(name='g2', clock=clock)
     one.note_answer(ENDPOINT, AnswerSignals(rate=2, leaving=True), 900)
-    assert one.recent_sum != other.recent_sum
+    assert one.recent_digest != other.recent_digest
     assert one.take_unreported() == {ENDPOINT}
     other.take_limit(ENDPOINT, one.limits[ENDPOINT])
     other.take_leaving(ENDPOINT, one.leaving[ENDPOINT])
-    assert one.recent_sum == other.recent_sum
+    assert one.recent_digest == other.recent_digest
     assert not other.take_unreported()
 
 
--- a/tests/test_signal_exchange.py
+++ b/tests/test_signal_exchange.py
@@ -54,7 +54,7 @@
     limit = peer_signals.limits['e1']
     assert (limit.rate, limit.reported_by, limit.received_ms) == (2, 'g1', 100_000)
     assert peer_signals.leaving['e1'].reported_by == 'g1'
-    assert receiver.recent_sum == sender.recent_sum
+    assert receiver.recent_digest == sender.recent_digest
     # Signals received from a peer are not forwarded.
     assert receiver.take_unreported().is_empty
     assert not receiver.write_all().is_empty
@@ -69,7 +69,7 @@
     own_signals.note_answer('e1', AnswerSignals(), 100_050)
     receiver.merge(sender.take_unreported())
     assert peer_signals.limits['e1'].rate is None
-    assert receiver.recent_sum == sender.recent_sum
+    assert receiver.recent_digest == sender.recent_digest
 
 
 def test_old_news_bring_no_limit_back(clock: ManualClock):
@@ -83,7 +83,7 @@
     receiver.merge(sender.write_all())
     receiver.merge(stale.write_all())
     assert peer_signals.limits['e1'].rate is None
-    assert receiver.recent_sum == sender.recent_sum
+    assert receiver.recent_digest == sender.recent_digest
 
 
 def test_peer_that_missed_news_is_told_again(clock: ManualClock):
@@ -92,20 +92,20 @@
     own_signals.note_answer('e1', AnswerSignals(rate=2), 99_990)
     sender.take_unreported()
     peer = session()
-    assert sender.answer_digest(peer, receiver.recent_sum, 1).is_empty
+    assert sender.answer_digest(peer, receiver.recent_digest, 1).is_empty
     clock.advance(SETTLE_TIME_MS)
-    receiver.merge(sender.answer_digest(peer, receiver.recent_sum, 1))
+    receiver.merge(sender.answer_digest(peer, receiver.recent_digest, 1))
     assert peer_signals.limits['e1'].rate == 2
     # No resend to a peer with an equal digest or a version without digests.
     clock.advance(60_000 - SETTLE_TIME_MS - 1000)
-    assert sender.answer_digest(peer, receiver.recent_sum, 1).is_empty
+    assert sender.answer_digest(peer, receiver.recent_digest, 1).is_empty
     assert sender.answer_digest(peer, -1, 1).is_empty
 
 
 def test_last_version_and_this_one_read_each_other(clock: ManualClock):
     sender, own_signals = make_exchange('g1', clock)
     own_signals.note_answer('e1', AnswerSignals(rate=2), 99_990)
-    sent = heartbeat(sender.take_unreported(), sender.recent_sum)
+    sent = heartbeat(sender.take_unreported(), sender.recent_digest)
     before = sent.fields()[: 1 + sent.__slots__.index('limits')]
     read = build_message(before)
     assert read.signal_sum == -1
@@ -126,7 +126,7 @@
     for number in range(limits):
         endpoint = f'i-{number:010x}'
         own_signals.note_answer(endpoint, AnswerSignals(rate=1.5), 99_990)
-    updates = heartbeat(sender.take_unreported(), sender.recent_sum)
+    updates = heartbeat(sender.take_unreported(), sender.recent_digest)
     slots = updates.__slots__.index('limits')
     without = build_message(updates.fields()[: 1 + slots])
     bare = len(encode(without)) - 3
--- a/wingfall/gateway/knowledge/crash_ledger.py
+++ b/wingfall/gateway/knowledge/crash_ledger.py
@@ -98,7 +98,7 @@
         return self._served_ms
 
     @property
-    def recent_sum(self) -> int:
+    def recent_digest(self) -> int:
         """A number equal for gateways with equal recent crashes."""
         return self._digests.combine(self.recent())
 
--- a/wingfall/gateway/knowledge/endpoint_signals.py
+++ b/wingfall/gateway/knowledge/endpoint_signals.py
@@ -88,7 +88,7 @@
         return self._leaving
 
     @property
-    def recent_sum(self) -> int:
+    def recent_digest(self) -> int:
         """Digest that is equal for gateways with equal recent signals.
 
         Each heartbeat contains the digest, so it is cached, and computed again
--- a/wingfall/gateway/peers/crash_exchange.py
+++ b/wingfall/gateway/peers/crash_exchange.py
@@ -69,9 +69,9 @@
         self._anti_entropy = AntiEntropy(clock=clock, state=ledger.revision)
 
     @property
-    def recent_sum(self) -> int:
+    def recent_digest(self) -> int:
         """The digest of the crashes of the last minute."""
-        return self._ledger.recent_sum
+        return self._ledger.recent_digest
 
     def wait(self) -> None:
         """Wait for entries that this gateway has not sent."""
@@ -111,7 +111,7 @@
         self._anti_entropy.note_state(self._ledger.revision)
         if not self._anti_entropy.is_due(
             peer_digest=peer_digest,
-            own_digest=self._ledger.recent_sum,
+            own_digest=self._ledger.recent_digest,
             resent_ms=session.crashes_resent_ms,
             sessions=sessions,
         ):
--- a/wingfall/gateway/peers/news_exchange.py
+++ b/wingfall/gateway/peers/news_exchange.py
@@ -70,12 +70,12 @@
     @property
     def crash_digest(self) -> int:
         """The digest of the crashes of the last minute."""
-        return self._crashes.recent_sum
+        return self._crashes.recent_digest
 
     @property
     def signal_digest(self) -> int:
         """The digest of the recent signals of endpoints."""
-        return self._signals.recent_sum
+        return self._signals.recent_digest
 
     def wait(self, kind: NewsKind) -> PeerUpdates:
         """Wait for updates that this gateway has not sent.
--- a/wingfall/gateway/peers/signal_exchange.py
+++ b/wingfall/gateway/peers/signal_exchange.py
@@ -66,12 +66,12 @@
         """
         self._clock = clock
         self._signals = signals
-        self._anti_entropy = AntiEntropy(clock=clock, state=signals.recent_sum)
+        self._anti_entropy = AntiEntropy(clock=clock, state=signals.recent_digest)
 
     @property
-    def recent_sum(self) -> int:
+    def recent_digest(self) -> int:
         """The digest of the signals that changed in the last minute."""
-        return self._signals.recent_sum
+        return self._signals.recent_digest
 
     def wait(self) -> None:
         """Wait for entries that this gateway has not sent."""
@@ -105,7 +105,7 @@
         :param sessions: number of gateways that receive the digest.
         :returns: the updates, empty if none were missed or others resend.
         """
-        own_digest = self._signals.recent_sum
+        own_digest = self._signals.recent_digest
         self._anti_entropy.note_state(own_digest)
         if not self._anti_entropy.is_due(
             peer_digest=peer_digest,
@@ -128,7 +128,7 @@
         for endpoint, age_ms, reported_by in updates.leavings:
             leaving = EndpointLeaving(received_ms=now_ms - age_ms, reported_by=reported_by)
             self._signals.take_leaving(endpoint, leaving)
-        self._anti_entropy.note_state(self._signals.recent_sum)
+        self._anti_entropy.note_state(self._signals.recent_digest)
 
     def _encode(self, endpoints: Iterable[str]) -> SignalUpdates:
         now_ms = self._clock.now_ms()
