--- a/tests/test_engine_speeds.py
+++ b/tests/test_engine_speeds.py
@@ -43,5 +43,5 @@
     speeds = EngineSpeeds()
     record_prefills(speeds, 'gone', 430)
     slow = speeds.find('gone', 'pool')
-    speeds.keep_only({'other'})
+    speeds.retain_only({'other'})
     assert speeds.find('gone', 'pool') is not slow
--- a/tests/test_full_gaps.py
+++ b/tests/test_full_gaps.py
@@ -79,7 +79,7 @@
 def test_engines_that_are_gone_are_forgotten(clock: ManualClock):
     gaps = FullGaps(clock=clock, reports_gaps=True)
     gaps.find('e').note(90)
-    gaps.keep_only(set())
+    gaps.retain_only(set())
     assert gaps.find('e').gaps_ms == []
 
 
--- a/tests/test_long_reads.py
+++ b/tests/test_long_reads.py
@@ -21,5 +21,5 @@
 def test_engines_that_left_are_forgotten(clock: ManualClock):
     prefills = LongReads(clock=clock)
     prefills.note('gone', 3000)
-    prefills.keep_only({'other'})
+    prefills.retain_only({'other'})
     assert prefills.tokens('gone') == pytest.approx(0)
--- a/tests/test_shared_rates.py
+++ b/tests/test_shared_rates.py
@@ -158,7 +158,7 @@
     speeds = EngineSpeeds(rates=rates)
     rate_before_listing = speeds.find('e', '').rate
     rates.merge_reported('e', '', [-600])
-    speeds.keep_only(set())
+    speeds.retain_only(set())
     assert rate_before_listing.tokens_per_ms == 60
     assert speeds.find('e', POOL).rate.tokens_per_ms == 60
     assert speeds.pool_rate(POOL).tokens_per_ms == 60
@@ -188,11 +188,11 @@
     rates: SharedRates, manual_clock: ManualClock
 ):
     rates.note('gone', POOL, LONG_TOKENS, FAST_MS)
-    rates.keep_only({'other'})
+    rates.retain_only({'other'})
     assert rates.of_pool(POOL).tokens_per_ms == FIRST_RATE
     assert not rates.take_unreported()
     manual_clock.advance(EXPIRY_MS)
-    rates.keep_only({'other'})
+    rates.retain_only({'other'})
     assert not rates.write_all()
 
 
@@ -200,7 +200,7 @@
     rates.note('i-1@1', POOL, LONG_TOKENS, SLOW_MS)
     rates.note('i-2@1', POOL, LONG_TOKENS, FAST_MS)
     rates.note('i-3@1', POOL, LONG_TOKENS, FAST_MS)
-    rates.keep_only({'i-1@2', 'i-2@1', 'i-3@1'})
+    rates.retain_only({'i-1@2', 'i-2@1', 'i-3@1'})
     assert rate_of(rates, 'i-1@2') == 60
 
 
--- a/wingfall/gateway/knowledge/endpoint_knowledge.py
+++ b/wingfall/gateway/knowledge/endpoint_knowledge.py
@@ -262,9 +262,9 @@
         self.health.retain_only(names)
         self.signals.remove_expired(names)
         self.caches.retain_only(names)
-        self.speeds.keep_only(names)
-        self.full_gaps.keep_only(names)
-        self.long_reads.keep_only(names)
+        self.speeds.retain_only(names)
+        self.full_gaps.retain_only(names)
+        self.long_reads.retain_only(names)
 
     def _is_large(self, pool: str) -> bool:
         if not self._short_gap_ms:
--- a/wingfall/gateway/knowledge/engine_speeds.py
+++ b/wingfall/gateway/knowledge/engine_speeds.py
@@ -62,7 +62,7 @@
     def write_all(self) -> list[list[Any]]:
         """Encode all rates for a gateway that starts."""
 
-    def keep_only(self, names: set[str]) -> None:
+    def retain_only(self, names: set[str]) -> None:
         """Remove engines that are no longer listed."""
 
 
@@ -151,11 +151,11 @@
         read_ms = elapsed_ms - fixed_ms
         self.rates.note(engine, pool, tokens, read_ms, waiting)
 
-    def keep_only(self, names: set[str]) -> None:
+    def retain_only(self, names: set[str]) -> None:
         """Remove engines that are no longer listed.
 
         :param names: names of the listed engines.
         """
-        self.rates.keep_only(names)
+        self.rates.retain_only(names)
         for name in self._by_engine.keys() - names:
             self._by_engine.pop(name)
--- a/wingfall/gateway/knowledge/full_gaps.py
+++ b/wingfall/gateway/knowledge/full_gaps.py
@@ -171,7 +171,7 @@
             if window.gaps_ms
         ]
 
-    def keep_only(self, names: set[str]) -> None:
+    def retain_only(self, names: set[str]) -> None:
         """Remove engines that are no longer listed.
 
         :param names: names of the listed engines.
--- a/wingfall/gateway/knowledge/long_reads.py
+++ b/wingfall/gateway/knowledge/long_reads.py
@@ -56,7 +56,7 @@
         engine_sum = self._sums.get(engine)
         return engine_sum.at(self._clock.now_ms()) if engine_sum else 0
 
-    def keep_only(self, names: set[str]) -> None:
+    def retain_only(self, names: set[str]) -> None:
         """Remove engines that are no longer listed.
 
         :param names: names of the listed engines.
--- a/wingfall/gateway/knowledge/own_rates.py
+++ b/wingfall/gateway/knowledge/own_rates.py
@@ -116,7 +116,7 @@
         """
         return []
 
-    def keep_only(self, names: set[str]) -> None:
+    def retain_only(self, names: set[str]) -> None:
         """Remove engines that are not listed any more.
 
         :param names: names of the listed engines.
--- a/wingfall/gateway/knowledge/shared_rates.py
+++ b/wingfall/gateway/knowledge/shared_rates.py
@@ -265,7 +265,7 @@
             if shared.window.rate is not None
         ]
 
-    def keep_only(self, names: set[str]) -> None:
+    def retain_only(self, names: set[str]) -> None:
         """Remove engines that are not listed any more.
 
         Samples of engines that aren't listed yet are retained for a while: a
--- a/wingfall/gateway/knowledge/sized_rates.py
+++ b/wingfall/gateway/knowledge/sized_rates.py
@@ -161,13 +161,13 @@
         """
         return self._shared.write_all()
 
-    def keep_only(self, names: set[str]) -> None:
+    def retain_only(self, names: set[str]) -> None:
         """Remove engines that are not listed any more.
 
         :param names: names of the listed engines.
         """
-        self._own.keep_only(names)
-        self._shared.keep_only(names)
+        self._own.retain_only(names)
+        self._shared.retain_only(names)
         for name in self._by_engine.keys() - names:
             self._by_engine.pop(name)
 
