--- a/tests/test_full_gaps.py
+++ b/tests/test_full_gaps.py
@@ -62,9 +62,9 @@
     gaps = FullGaps(clock=clock, reports_gaps=True)
     for gap_ms in range(80, 100):
         gaps.find('e').note(gap_ms)
-    assert gaps.write_all() == [['e', 94, 95, 96, 97, 98, 99]]
+    assert gaps.encode_all() == [['e', 94, 95, 96, 97, 98, 99]]
     started = FullGaps(clock=clock, reports_gaps=True)
-    for name, *gaps_ms in gaps.write_all():
+    for name, *gaps_ms in gaps.encode_all():
         started.merge_reported(name, gaps_ms)
     assert started.find('e').typical_ms is not None
 
@@ -73,7 +73,7 @@
     gaps = FullGaps(clock=clock)
     gaps.find('e').note(90)
     assert gaps.take_unreported() == []
-    assert gaps.write_all() == []
+    assert gaps.encode_all() == []
 
 
 def test_engines_that_are_gone_are_forgotten(clock: ManualClock):
--- a/tests/test_shared_rates.py
+++ b/tests/test_shared_rates.py
@@ -132,7 +132,7 @@
     new = SharedRates(clock=manual_clock)
     rates.note('e', POOL, LONG_TOKENS, FAST_MS)
     rates.note('e', POOL, LONG_TOKENS, FAST_MS)
-    encoded = rates.write_all()
+    encoded = rates.encode_all()
     for engine, *reported in encoded * 60:
         new.merge_reported(engine, POOL, reported)
     assert rate_of(new, 'e') == 60
@@ -149,7 +149,7 @@
     other.note('e', POOL, LONG_TOKENS, SLOW_MS)
     for _sample in range(16):
         rates.note('e', POOL, LONG_TOKENS, FAST_MS)
-    for engine, *reported in other.write_all() * 60:
+    for engine, *reported in other.encode_all() * 60:
         rates.merge_reported(engine, POOL, reported)
     assert rate_of(rates, 'e') == 60
 
@@ -193,7 +193,7 @@
     assert not rates.take_unreported()
     manual_clock.advance(EXPIRY_MS)
     rates.retain_only({'other'})
-    assert not rates.write_all()
+    assert not rates.encode_all()
 
 
 def test_engine_that_starts_again_is_another_engine(rates: SharedRates):
@@ -240,7 +240,7 @@
     assert rates.find('e', POOL).tokens_per_ms == before
     assert rates.fixed_ms(POOL) is None
     assert not rates.take_unreported()
-    assert not rates.write_all()
+    assert not rates.encode_all()
 
 
 def test_look_at_a_rate_changes_nothing(manual_clock: ManualClock):
--- a/tests/test_signal_exchange.py
+++ b/tests/test_signal_exchange.py
@@ -57,7 +57,7 @@
     assert receiver.recent_digest == sender.recent_digest
     # Signals received from a peer are not forwarded.
     assert receiver.take_unreported().is_empty
-    assert not receiver.write_all().is_empty
+    assert not receiver.encode_all().is_empty
 
 
 def test_end_of_a_limit_is_told(clock: ManualClock):
@@ -80,8 +80,8 @@
     stale.merge(sender.take_unreported())
     clock.advance(100)
     own_signals.note_answer('e1', AnswerSignals(), 100_050)
-    receiver.merge(sender.write_all())
-    receiver.merge(stale.write_all())
+    receiver.merge(sender.encode_all())
+    receiver.merge(stale.encode_all())
     assert peer_signals.limits['e1'].rate is None
     assert receiver.recent_digest == sender.recent_digest
 
--- a/wingfall/gateway/knowledge/engine_speeds.py
+++ b/wingfall/gateway/knowledge/engine_speeds.py
@@ -59,7 +59,7 @@
     def take_unreported(self) -> list[list[Any]]:
         """Return and clear the samples not yet reported to peers."""
 
-    def write_all(self) -> list[list[Any]]:
+    def encode_all(self) -> list[list[Any]]:
         """Encode all rates for a gateway that starts."""
 
     def retain_only(self, names: set[str]) -> None:
--- a/wingfall/gateway/knowledge/full_gaps.py
+++ b/wingfall/gateway/knowledge/full_gaps.py
@@ -157,7 +157,7 @@
         ]
         return [entry for entry in unreported if len(entry) > 1]
 
-    def write_all(self) -> list[list[Any]]:
+    def encode_all(self) -> list[list[Any]]:
         """Encode the newest gaps of all engines for a gateway that starts.
 
         :returns: for each engine its name and gaps in milliseconds, as in a
--- a/wingfall/gateway/knowledge/own_rates.py
+++ b/wingfall/gateway/knowledge/own_rates.py
@@ -109,7 +109,7 @@
         """
         return []
 
-    def write_all(self) -> list[list[Any]]:
+    def encode_all(self) -> list[list[Any]]:
         """Return no rates for a gateway that starts.
 
         :returns: an empty list.
--- a/wingfall/gateway/knowledge/shared_rates.py
+++ b/wingfall/gateway/knowledge/shared_rates.py
@@ -254,7 +254,7 @@
         self._unreported = {}
         return [[engine, *rates] for engine, rates in unreported.items()]
 
-    def write_all(self) -> list[list[Any]]:
+    def encode_all(self) -> list[list[Any]]:
         """Encode the estimated rates for a gateway that starts.
 
         :returns: for each engine its name and its rate in wire format.
--- a/wingfall/gateway/knowledge/sized_rates.py
+++ b/wingfall/gateway/knowledge/sized_rates.py
@@ -154,12 +154,12 @@
         """
         return self._shared.take_unreported()
 
-    def write_all(self) -> list[list[Any]]:
+    def encode_all(self) -> list[list[Any]]:
         """Encode the shared rates for a gateway that starts.
 
         :returns: for each engine its name and its rate in wire format.
         """
-        return self._shared.write_all()
+        return self._shared.encode_all()
 
     def retain_only(self, names: set[str]) -> None:
         """Remove engines that are not listed any more.
--- a/wingfall/gateway/peers/crash_exchange.py
+++ b/wingfall/gateway/peers/crash_exchange.py
@@ -88,7 +88,7 @@
             self._ledger.take_unreported_served(),
         )
 
-    def write_all(self) -> CrashUpdates:
+    def encode_all(self) -> CrashUpdates:
         """Return all known entries, for a new session.
 
         :returns: the updates.
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -138,7 +138,7 @@
             whole=True,
             loads=self._loads.encode_own_loads() if near else None,
             activity=self._loads.encode_known_speeds() if near else None,
-            updates=self._updates.write_all(),
+            updates=self._updates.encode_all(),
             duties=self._duties.encode_state() if self._duties else None,
         )
         session.connection.send(heartbeat)
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -108,8 +108,8 @@
         :returns: the entries of a heartbeat.
         """
         return Activity(
-            readings=self._knowledge.speeds.rates.write_all(),
-            gaps=self._knowledge.full_gaps.write_all(),
+            readings=self._knowledge.speeds.rates.encode_all(),
+            gaps=self._knowledge.full_gaps.encode_all(),
         )
 
     def collect_loads(self, *, whole: bool) -> list[list[Any]]:
--- a/wingfall/gateway/peers/news_exchange.py
+++ b/wingfall/gateway/peers/news_exchange.py
@@ -89,14 +89,14 @@
         self._signals.wait()
         return PeerUpdates(signals=self._signals.take_unreported())
 
-    def write_all(self) -> PeerUpdates:
+    def encode_all(self) -> PeerUpdates:
         """Return all known entries, for a new session.
 
         :returns: the updates.
         """
         return PeerUpdates(
-            crashes=self._crashes.write_all(),
-            signals=self._signals.write_all(),
+            crashes=self._crashes.encode_all(),
+            signals=self._signals.encode_all(),
         )
 
     def forget(self, session: PeerSession) -> None:
--- a/wingfall/gateway/peers/signal_exchange.py
+++ b/wingfall/gateway/peers/signal_exchange.py
@@ -84,7 +84,7 @@
         """
         return self._encode(self._signals.take_unreported())
 
-    def write_all(self) -> SignalUpdates:
+    def encode_all(self) -> SignalUpdates:
         """Return all known entries, for a new session.
 
         :returns: the updates.
