--- a/tests/load_replay.py
+++ b/tests/load_replay.py
@@ -441,7 +441,7 @@
             return
         knowledge = call.gateway.knowledge
         call.entry = knowledge.load.start(name, to.load)
-        uncached = to.load.reading_tokens
+        uncached = to.load.prefill_tokens
         knowledge.note_prompt_sent(name, uncached)
         note_given(call.gateway.state, call.call, to)
         sent = SentPrompt(
@@ -476,7 +476,7 @@
         knowledge, now_ms = call.gateway.knowledge, self.clock.now_ms()
         knowledge.caches.confirm_read(engine.name, call.prompt)
         knowledge.start_estimates.note(POOL, 0, to.start_ms, now_ms - sent_ms)
-        pending, own = to.candidate.reading_tokens, to.load.reading_tokens
+        pending, own = to.candidate.prefill_tokens, to.load.prefill_tokens
         knowledge.speeds.note_start(
             engine.name, POOL, pending + own, now_ms - sent_ms, pending
         )
--- a/tests/test_call_rules.py
+++ b/tests/test_call_rules.py
@@ -191,7 +191,7 @@
     demand = Demand(is_prompt=True, tokens=1000, output_tokens=output_tokens)
     candidates = [
         Candidate(name='failing', failing=failure_rate),
-        Candidate(name='busy', running=10, reading_tokens=500),
+        Candidate(name='busy', running=10, prefill_tokens=500),
     ]
     chosen = destination._choose_backup(
         state, SimpleNamespace(route=route), 'p', demand, candidates
--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -161,7 +161,7 @@
 
 def add_load(known: EndpointKnowledge, name: str) -> None:
     """Record work of this gateway and of a peer at an endpoint."""
-    known.load.start(name, EndpointLoad(running=1, reading_tokens=90))
+    known.load.start(name, EndpointLoad(running=1, prefill_tokens=90))
     work = [(name, EndpointLoad(running=2))]
     known.load.merge_from_peer('peer', work, whole=False)
 
--- a/tests/test_fair_admission.py
+++ b/tests/test_fair_admission.py
@@ -176,7 +176,7 @@
         """Queue prompts with the given wait at engines."""
         for name in names:
             load = EndpointLoad(
-                running=1, reading_tokens=wait_ms * PREFILL_RATE
+                running=1, prefill_tokens=wait_ms * PREFILL_RATE
             )
             self.knowledge.load.start(name, load)
 
--- a/tests/test_gateway_load.py
+++ b/tests/test_gateway_load.py
@@ -43,12 +43,12 @@
 
 def test_load_counts_from_sending_to_end():
     table = LoadTable()
-    load = EndpointLoad(running=1, reading_tokens=500, memory_used=600)
+    load = EndpointLoad(running=1, prefill_tokens=500, memory_used=600)
     entry = table.start('one', load)
-    assert table.total('one').reading_tokens == 500
+    assert table.total('one').prefill_tokens == 500
     entry.begin_output()
     entry.begin_output()
-    assert table.total('one').reading_tokens == 0
+    assert table.total('one').prefill_tokens == 0
     assert table.total('one').running == 1
     entry.end()
     entry.end()
@@ -57,11 +57,11 @@
 
 
 def test_load_that_was_brought_stays_as_it_was():
-    load = EndpointLoad(running=1, reading_tokens=500, streams={200: 1})
+    load = EndpointLoad(running=1, prefill_tokens=500, streams={200: 1})
     entry = LoadTable().start('one', load)
     entry.begin_output()
     entry.end()
-    assert load.reading_tokens == 500
+    assert load.prefill_tokens == 500
     assert load.streams == {200: 1}
 
 
@@ -127,7 +127,7 @@
 def test_work_is_the_same_after_the_wire():
     load = EndpointLoad(
         running=3,
-        reading_tokens=7,
+        prefill_tokens=7,
         memory_used=9,
         streams={300: 2, 200: 1},
     )
--- a/tests/test_kept_engines.py
+++ b/tests/test_kept_engines.py
@@ -106,7 +106,7 @@
         """Add pending prefill tokens to engines."""
         for name in engines:
             self.knowledge.load.start(
-                name, EndpointLoad(running=1, reading_tokens=tokens)
+                name, EndpointLoad(running=1, prefill_tokens=tokens)
             )
 
     def _add(self, name: str, gap_ms: int) -> None:
--- a/tests/test_last_event.py
+++ b/tests/test_last_event.py
@@ -25,7 +25,7 @@
         first_ms=FIRST_MS,
         output_tokens=output,
         event_tokens=4,
-        reading_tokens=pending,
+        prefill_tokens=pending,
         speed=speed,
     )
 
--- a/tests/test_load_exchange.py
+++ b/tests/test_load_exchange.py
@@ -22,7 +22,7 @@
 
 def start_request(gateway: Gateway, endpoint: str = 'e1') -> object:
     """Record a request that a gateway sends to an endpoint."""
-    load = EndpointLoad(running=1, reading_tokens=100)
+    load = EndpointLoad(running=1, prefill_tokens=100)
     return gateway.load.start(endpoint, load)
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -43,24 +43,24 @@
 
 
 def test_prompt_goes_where_its_part_is_kept():
-    caching = engine('kept', cached_tokens=5000, running=5, reading_tokens=3000)
+    caching = engine('kept', cached_tokens=5000, running=5, prefill_tokens=3000)
     assert choose(prompt(), engine('idle'), caching) == 'kept'
 
 
 def test_prompt_leaves_an_engine_that_is_far_behind():
-    caching = engine('kept', cached_tokens=5000, reading_tokens=90_000)
+    caching = engine('kept', cached_tokens=5000, prefill_tokens=90_000)
     assert choose(prompt(), engine('idle'), caching) == 'idle'
 
 
 def test_prompt_leaves_a_busy_engine_sooner_if_its_part_can_be_copied():
-    behind = engine('behind', cached_tokens=5000, reading_tokens=28_000)
+    behind = engine('behind', cached_tokens=5000, prefill_tokens=28_000)
     assert choose(prompt(), engine('reads'), behind) == 'behind'
     copies = engine('copies', copied_tokens=5000)
     assert choose(prompt(), engine('reads'), behind, copies) == 'copies'
 
 
 def test_prompt_stays_where_its_part_is_kept_though_it_can_be_copied():
-    caching = engine('kept', cached_tokens=5000, reading_tokens=10_000)
+    caching = engine('kept', cached_tokens=5000, prefill_tokens=10_000)
     copies = engine('copies', copied_tokens=5000)
     assert choose(prompt(), copies, caching) == 'kept'
 
@@ -134,7 +134,7 @@
 
 def test_late_start_is_weighed_against_harm():
     long_prompt = prompt(tokens=8000, shared=0, start_ms=600)
-    queued = engine('waits', reading_tokens=20_000)
+    queued = engine('waits', prefill_tokens=20_000)
     assert late_start(long_prompt, queued, 8000) == 1
     assert late_start(prompt(), queued, 8000) == 0
     tight = engine('tight', streams={300: 1})
--- a/tests/test_token_gap_watch.py
+++ b/tests/test_token_gap_watch.py
@@ -29,7 +29,7 @@
     assert watch.longest_gap_ms is None
     clock.advance(30)
     watch.note_event()
-    entry = load.start('e1', EndpointLoad(running=1, reading_tokens=9000))
+    entry = load.start('e1', EndpointLoad(running=1, prefill_tokens=9000))
     clock.advance(220)
     watch.note_event()
     entry.begin_output()
@@ -42,7 +42,7 @@
 def test_read_that_ended_in_the_pause_counts(clock: ManualClock):
     load = LoadTable()
     watch = make_watch(load, clock)
-    entry = load.start('e1', EndpointLoad(running=1, reading_tokens=5000))
+    entry = load.start('e1', EndpointLoad(running=1, prefill_tokens=5000))
     watch.note_event()
     clock.advance(120)
     entry.begin_output()
@@ -63,7 +63,7 @@
     load = LoadTable()
     speed = EngineSpeed(tokens_per_ms=40)
     watch = make_watch(load, clock, speed=speed)
-    load.start('e1', EndpointLoad(running=1, reading_tokens=50_000))
+    load.start('e1', EndpointLoad(running=1, prefill_tokens=50_000))
     watch.note_event()
     for gap_ms in (30, 200, 30):
         clock.advance(gap_ms)
--- a/wingfall/gateway/calls/admission.py
+++ b/wingfall/gateway/calls/admission.py
@@ -169,7 +169,7 @@
 def _call_work(call: Call, destination: Destination) -> float:
     prompt = call.head.prompt
     output_tokens = prompt.output_tokens if prompt else 0
-    return prompt_work(destination.load.reading_tokens, output_tokens)
+    return prompt_work(destination.load.prefill_tokens, output_tokens)
 
 
 def _count_decision(state: GatewayState, reason: str) -> None:
@@ -188,7 +188,7 @@
         call=call.call_id,
         customer=call.customer.name if call.customer else None,
         endpoint=destination.endpoint.name,
-        reading=destination.candidate.reading_tokens,
+        reading=destination.candidate.prefill_tokens,
         start_ms=int(estimate.start_ms),
         target_ms=estimate.target_ms,
         left_ms=estimate.left_ms,
--- a/wingfall/gateway/calls/attempt_log.py
+++ b/wingfall/gateway/calls/attempt_log.py
@@ -65,7 +65,7 @@
         gap_ms=gap_watch.longest_gap_ms,
         gap_reading=gap_watch.longest_gap_prefill_tokens,
         **_describe_load(destination.candidate),
-        unread=destination.load.reading_tokens,
+        unread=destination.load.prefill_tokens,
         start_ms=int(estimate_ms),
         source=source.name if source else None,
         backup=backup.name if backup else None,
@@ -77,7 +77,7 @@
 def _describe_load(candidate: Candidate) -> dict[str, Any]:
     return {
         'running': candidate.running,
-        'reading': candidate.reading_tokens,
+        'reading': candidate.prefill_tokens,
         'cached': candidate.cached_tokens,
         'copied': candidate.copied_tokens,
     }
--- a/wingfall/gateway/calls/attempt_tracker.py
+++ b/wingfall/gateway/calls/attempt_tracker.py
@@ -175,7 +175,7 @@
         if prompt is None or destination.is_continuation:
             return
         name = destination.endpoint.name
-        uncached_tokens = destination.load.reading_tokens
+        uncached_tokens = destination.load.prefill_tokens
         self._state.knowledge.note_prompt_sent(name, uncached_tokens)
         if self._number == 1:
             note_given(self._state, self._call, destination)
@@ -200,8 +200,8 @@
         )
 
     def _update_prefill_rate(self) -> None:
-        pending_tokens = self._destination.candidate.reading_tokens
-        own_tokens = self._destination.load.reading_tokens
+        pending_tokens = self._destination.candidate.prefill_tokens
+        own_tokens = self._destination.load.prefill_tokens
         endpoint = self._destination.endpoint
         self._state.knowledge.speeds.note_start(
             endpoint.name,
--- a/wingfall/gateway/calls/destination.py
+++ b/wingfall/gateway/calls/destination.py
@@ -77,7 +77,7 @@
     def start_ms(self) -> float:
         """Milliseconds of prefill until the answer starts."""
         pending_tokens = (
-            self.candidate.reading_tokens + self.load.reading_tokens
+            self.candidate.prefill_tokens + self.load.prefill_tokens
         )
         return self.candidate.speed.read_ms(pending_tokens)
 
@@ -163,7 +163,7 @@
         remote=endpoint.zone != state.zone,
         slots=endpoint.slots,
         running=load.running,
-        reading_tokens=load.reading_tokens,
+        prefill_tokens=load.prefill_tokens,
         memory_used=load.memory_used,
         memory_tokens=memory_tokens,
         cached_tokens=cached,
@@ -196,7 +196,7 @@
     uncached = demand.tokens - candidate.cached_tokens
     return EndpointLoad(
         running=1,
-        reading_tokens=uncached - candidate.copied_tokens,
+        prefill_tokens=uncached - candidate.copied_tokens,
         memory_used=uncached + demand.output_tokens,
         streams={demand.gap_target_ms: 1} if demand.gap_target_ms else {},
     )
--- a/wingfall/gateway/calls/token_gap_watch.py
+++ b/wingfall/gateway/calls/token_gap_watch.py
@@ -58,7 +58,7 @@
     def note_event(self) -> None:
         """Record the arrival of events of the stream."""
         now_ms = self._clock.now_ms()
-        prefill_tokens = self._load.total(self._endpoint).reading_tokens
+        prefill_tokens = self._load.total(self._endpoint).prefill_tokens
         if self._last_event_ms is not None:
             # A prefill during the gap was pending at its start or at its end.
             gap_prefill_tokens = max(prefill_tokens, self._last_prefill_tokens)
@@ -74,9 +74,9 @@
                 self.longest_gap_prefill_tokens,
             )
 
-    def _note_gap(self, gap_ms: int, reading_tokens: int) -> None:
-        if not reading_tokens:
+    def _note_gap(self, gap_ms: int, prefill_tokens: int) -> None:
+        if not prefill_tokens:
             self._speed.note_gap(gap_ms)
         if self.longest_gap_ms is None or gap_ms > self.longest_gap_ms:
             self.longest_gap_ms = gap_ms
-            self.longest_gap_prefill_tokens = reading_tokens
+            self.longest_gap_prefill_tokens = prefill_tokens
--- a/wingfall/gateway/knowledge/endpoint_knowledge.py
+++ b/wingfall/gateway/knowledge/endpoint_knowledge.py
@@ -212,7 +212,7 @@
         :param name: name of the endpoint.
         :returns: clock time in milliseconds.
         """
-        pending_tokens = self.load.total(name).reading_tokens
+        pending_tokens = self.load.total(name).prefill_tokens
         remaining_ms = self.speed(name).read_ms(pending_tokens)
         return self._clock.now_ms() + int(remaining_ms)
 
--- a/wingfall/gateway/knowledge/engine_speed.py
+++ b/wingfall/gateway/knowledge/engine_speed.py
@@ -201,13 +201,13 @@
         """
         self._idle_gap_ms += (gap_ms - self._idle_gap_ms) * _GAP_WEIGHT
 
-    def note_longest_gap(self, gap_ms: int, reading_tokens: int) -> None:
+    def note_longest_gap(self, gap_ms: int, prefill_tokens: int) -> None:
         """Record the longest gap of a stream.
 
         :param gap_ms: the gap in milliseconds.
-        :param reading_tokens: pending prefill tokens of the engine meanwhile.
+        :param prefill_tokens: pending prefill tokens of the engine meanwhile.
         """
-        pending_ms = self.read_ms(reading_tokens)
+        pending_ms = self.read_ms(prefill_tokens)
         self._longest_gap.note(gap_ms, pending_ms)
         prefills_throughout = (
             pending_ms >= gap_ms * _MIN_FULL_LOAD_PENDING_RATIO
--- a/wingfall/gateway/knowledge/last_event.py
+++ b/wingfall/gateway/knowledge/last_event.py
@@ -18,7 +18,7 @@
     first_ms: float,
     output_tokens: int,
     event_tokens: int,
-    reading_tokens: int,
+    prefill_tokens: int,
     speed: EngineSpeed,
 ) -> float:
     """Estimate the time of the last event of an answer.
@@ -30,7 +30,7 @@
     :param first_ms: milliseconds to the first event.
     :param output_tokens: tokens of the answer.
     :param event_tokens: tokens in an event of the pool's streams, at least 1.
-    :param reading_tokens: pending prefill tokens of the engine after the first
+    :param prefill_tokens: pending prefill tokens of the engine after the first
         event.
     :param speed: prefill rate and token gaps of the engine.
     :returns: milliseconds to the last event.
@@ -38,5 +38,5 @@
     gaps = max(0, math.ceil(output_tokens / event_tokens) - 1)
     idle_ms = speed.idle_gap_ms
     full_ms = max(idle_ms, speed.full_gap_ms or 0)
-    delayed_gaps = min(gaps, speed.read_ms(reading_tokens) / full_ms)
+    delayed_gaps = min(gaps, speed.read_ms(prefill_tokens) / full_ms)
     return first_ms + delayed_gaps * full_ms + (gaps - delayed_gaps) * idle_ms
--- a/wingfall/gateway/knowledge/load.py
+++ b/wingfall/gateway/knowledge/load.py
@@ -17,26 +17,26 @@
 class EndpointLoad:
     """Work at one endpoint."""
 
-    __slots__ = ('memory_used', 'reading_tokens', 'running', 'streams')
+    __slots__ = ('memory_used', 'prefill_tokens', 'running', 'streams')
 
     def __init__(
         self,
         *,
         running: int = 0,
-        reading_tokens: int = 0,
+        prefill_tokens: int = 0,
         memory_used: int = 0,
         streams: dict[int, int] | None = None,
     ) -> None:
         """Initialize the work.
 
         :param running: number of requests sent to the endpoint and not ended.
-        :param reading_tokens: prompt tokens of requests without a first event.
+        :param prefill_tokens: prompt tokens of requests without a first event.
         :param memory_used: tokens that these requests hold in memory.
         :param streams: number of streams among them by token gap bound in
             milliseconds.
         """
         self.running = running
-        self.reading_tokens = reading_tokens
+        self.prefill_tokens = prefill_tokens
         self.memory_used = memory_used
         self.streams = streams or {}
 
@@ -52,7 +52,7 @@
         :param sign: 1 to add, -1 to subtract.
         """
         self.running += sign * other.running
-        self.reading_tokens += sign * other.reading_tokens
+        self.prefill_tokens += sign * other.prefill_tokens
         self.memory_used += sign * other.memory_used
         for gap_ms, count in other.streams.items():
             remaining = self.streams.get(gap_ms, 0) + sign * count
@@ -226,8 +226,8 @@
         if self._has_output:
             return False
         self._has_output = True
-        prefilled = EndpointLoad(reading_tokens=self._load.reading_tokens)
-        self._load.reading_tokens = 0
+        prefilled = EndpointLoad(prefill_tokens=self._load.prefill_tokens)
+        self._load.prefill_tokens = 0
         self._table.adjust_own(self._endpoint, prefilled, -1)
         return True
 
--- a/wingfall/gateway/peers/loads/load_entries.py
+++ b/wingfall/gateway/peers/loads/load_entries.py
@@ -84,7 +84,7 @@
     """
     return (
         load.running,
-        load.reading_tokens,
+        load.prefill_tokens,
         load.memory_used,
         *itertools.chain.from_iterable(sorted(load.streams.items())),
     )
@@ -177,14 +177,14 @@
 def _decode_load(
     name: str,
     running: int,
-    reading_tokens: int,
+    prefill_tokens: int,
     memory_used: int,
     *streams: int,
 ) -> tuple[str, EndpointLoad]:
     gaps_ms, counts = streams[::2], streams[1::2]
     load = EndpointLoad(
         running=running,
-        reading_tokens=reading_tokens,
+        prefill_tokens=prefill_tokens,
         memory_used=memory_used,
         streams=dict(zip(gaps_ms, counts, strict=True)),
     )
--- a/wingfall/gateway/rules/admission/fair_shares.py
+++ b/wingfall/gateway/rules/admission/fair_shares.py
@@ -152,6 +152,6 @@
     def _pending_tokens(self, pool: str) -> int:
         total = self._knowledge.load.total
         return sum(
-            total(each.name).reading_tokens
+            total(each.name).prefill_tokens
             for each in self._knowledge.table.usable(pool)
         )
--- a/wingfall/gateway/rules/placement/candidate.py
+++ b/wingfall/gateway/rules/placement/candidate.py
@@ -22,7 +22,7 @@
         'memory_tokens',
         'memory_used',
         'name',
-        'reading_tokens',
+        'prefill_tokens',
         'long_reads',
         'remote',
         'running',
@@ -40,7 +40,7 @@
         remote: bool = False,
         slots: int = 1,
         running: int = 0,
-        reading_tokens: int = 0,
+        prefill_tokens: int = 0,
         memory_used: int = 0,
         memory_tokens: int = 0,
         cached_tokens: int = 0,
@@ -59,7 +59,7 @@
         :param remote: whether it is in another availability zone.
         :param slots: number of requests that it runs at once.
         :param running: requests of all gateways that run or wait there.
-        :param reading_tokens: prompt tokens that it has not prefilled yet.
+        :param prefill_tokens: prompt tokens that it has not prefilled yet.
         :param memory_used: tokens held there by running requests.
         :param memory_tokens: capacity in tokens, 0 if unknown.
         :param cached_tokens: tokens of this prompt that it caches.
@@ -80,7 +80,7 @@
         self.remote = remote
         self.slots = slots
         self.running = running
-        self.reading_tokens = reading_tokens
+        self.prefill_tokens = prefill_tokens
         self.memory_used = memory_used
         self.memory_tokens = memory_tokens
         self.cached_tokens = cached_tokens
--- a/wingfall/gateway/rules/placement/endpoint_choice.py
+++ b/wingfall/gateway/rules/placement/endpoint_choice.py
@@ -96,7 +96,7 @@
     """
     if not demand.start_target_ms:
         return 0
-    start_ms = candidate.speed.read_ms(candidate.reading_tokens + uncached)
+    start_ms = candidate.speed.read_ms(candidate.prefill_tokens + uncached)
     return late_chance(start_ms, demand.start_target_ms)
 
 
@@ -112,7 +112,7 @@
     uncached = demand.tokens - reused
     cost = uncached_shared * _RECOMPUTED_WEIGHT
     cost += candidate.copied_tokens * _COPIED_WEIGHT
-    cost += candidate.reading_tokens + candidate.unseen_tokens
+    cost += candidate.prefill_tokens + candidate.unseen_tokens
     cost += candidate.running * _RUNNING_COST_TOKENS
     cost += late_streams(demand, candidate, uncached) * _LATE_GAP_COST_TOKENS
     cost += late_start(demand, candidate, uncached) * _LATE_START_COST_TOKENS
--- a/wingfall/gateway/rules/placement/pool_look.py
+++ b/wingfall/gateway/rules/placement/pool_look.py
@@ -106,7 +106,7 @@
         if load is None or demand.start_target_ms is None:
             return True
         rate = self.engines[engine].rate
-        start_ms = (load.reading_tokens + demand.tokens) / rate
+        start_ms = (load.prefill_tokens + demand.tokens) / rate
         return start_ms <= demand.start_target_ms * _START_TARGET_FRACTION
 
 
