--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -223,12 +223,12 @@
     put = entry_writer(ObjectApplier(state=state))
     put(FIRST_MS)
     first = started(FIRST_MS).name
-    before = known.speed('nobody').read_ms(10_000)
+    before = known.speed('nobody').prefill_ms(10_000)
     for _stream in range(50):
         known.speeds.find(first, 'other').rate.note(10_000, 10)
-    assert known.speed(first).read_ms(10_000) < before
+    assert known.speed(first).prefill_ms(10_000) < before
     put(LATER_MS)
-    assert known.speed(started(LATER_MS).name).read_ms(10_000) == before
+    assert known.speed(started(LATER_MS).name).prefill_ms(10_000) == before
 
 
 def test_connection_to_an_earlier_start_is_not_used_again():
--- a/wingfall/gateway/calls/destination.py
+++ b/wingfall/gateway/calls/destination.py
@@ -79,7 +79,7 @@
         pending_tokens = (
             self.candidate.prefill_tokens + self.load.prefill_tokens
         )
-        return self.candidate.speed.read_ms(pending_tokens)
+        return self.candidate.speed.prefill_ms(pending_tokens)
 
 
 def choose_destination(
--- a/wingfall/gateway/knowledge/endpoint_knowledge.py
+++ b/wingfall/gateway/knowledge/endpoint_knowledge.py
@@ -213,7 +213,7 @@
         :returns: clock time in milliseconds.
         """
         pending_tokens = self.load.total(name).prefill_tokens
-        remaining_ms = self.speed(name).read_ms(pending_tokens)
+        remaining_ms = self.speed(name).prefill_ms(pending_tokens)
         return self._clock.now_ms() + int(remaining_ms)
 
     def note_first_event(self, pool: str) -> None:
--- a/wingfall/gateway/knowledge/engine_speed.py
+++ b/wingfall/gateway/knowledge/engine_speed.py
@@ -160,7 +160,7 @@
         """Longest token gap at full load in milliseconds, None if unknown."""
         return self._longest_gap.longest_ms
 
-    def read_ms(self, tokens: float) -> float:
+    def prefill_ms(self, tokens: float) -> float:
         """Estimate the duration of a prefill.
 
         :param tokens: number of tokens to prefill.
@@ -207,7 +207,7 @@
         :param gap_ms: the gap in milliseconds.
         :param prefill_tokens: pending prefill tokens of the engine meanwhile.
         """
-        pending_ms = self.read_ms(prefill_tokens)
+        pending_ms = self.prefill_ms(prefill_tokens)
         self._longest_gap.note(gap_ms, pending_ms)
         prefills_throughout = (
             pending_ms >= gap_ms * _MIN_FULL_LOAD_PENDING_RATIO
--- a/wingfall/gateway/knowledge/engine_speeds.py
+++ b/wingfall/gateway/knowledge/engine_speeds.py
@@ -148,8 +148,8 @@
         if fixed_ms is None:
             # The first event takes a step of its own after the prefill.
             fixed_ms = self.find(engine, pool).idle_gap_ms
-        read_ms = elapsed_ms - fixed_ms
-        self.rates.note(engine, pool, tokens, read_ms, waiting)
+        prefill_ms = elapsed_ms - fixed_ms
+        self.rates.note(engine, pool, tokens, prefill_ms, waiting)
 
     def retain_only(self, names: set[str]) -> None:
         """Remove engines that are no longer listed.
--- a/wingfall/gateway/knowledge/last_event.py
+++ b/wingfall/gateway/knowledge/last_event.py
@@ -38,5 +38,5 @@
     gaps = max(0, math.ceil(output_tokens / event_tokens) - 1)
     idle_ms = speed.idle_gap_ms
     full_ms = max(idle_ms, speed.full_gap_ms or 0)
-    delayed_gaps = min(gaps, speed.read_ms(prefill_tokens) / full_ms)
+    delayed_gaps = min(gaps, speed.prefill_ms(prefill_tokens) / full_ms)
     return first_ms + delayed_gaps * full_ms + (gaps - delayed_gaps) * idle_ms
--- a/wingfall/gateway/knowledge/shared_rates.py
+++ b/wingfall/gateway/knowledge/shared_rates.py
@@ -225,8 +225,8 @@
         :param elapsed_ms: milliseconds from sending it to its first event.
         """
         if tokens < MEASURED_TOKENS:
-            read_ms = tokens / self.find(engine, pool).tokens_per_ms
-            self.of_pool(pool).fixed_start.note(elapsed_ms - read_ms)
+            prefill_ms = tokens / self.find(engine, pool).tokens_per_ms
+            self.of_pool(pool).fixed_start.note(elapsed_ms - prefill_ms)
 
     def merge_reported(self, engine: str, pool: str, rates: list[int]) -> None:
         """Merge samples that another gateway reported.
--- a/wingfall/gateway/rules/placement/endpoint_choice.py
+++ b/wingfall/gateway/rules/placement/endpoint_choice.py
@@ -96,7 +96,7 @@
     """
     if not demand.start_target_ms:
         return 0
-    start_ms = candidate.speed.read_ms(candidate.prefill_tokens + uncached)
+    start_ms = candidate.speed.prefill_ms(candidate.prefill_tokens + uncached)
     return late_chance(start_ms, demand.start_target_ms)
 
 
