--- a/tests/test_kept_engines.py
+++ b/tests/test_kept_engines.py
@@ -15,7 +15,7 @@
 from wingfall.gateway.model.routes import CallerLimits, Routes
 from wingfall.gateway.rules.placement.candidate import Demand
 from wingfall.gateway.rules.placement.engine_groups import (
-    EngineGroups,
+    EngineGroupPolicy,
     keep_none,
     part_by_gap,
 )
@@ -60,7 +60,7 @@
 class Gateway:
     """A gateway's knowledge of a pool with quick and slow engines."""
 
-    def __init__(self, parts_pool: EngineGroups = part_by_gap) -> None:
+    def __init__(self, parts_pool: EngineGroupPolicy = part_by_gap) -> None:
         """Create a gateway with token gap samples of all engines."""
         self.clock = ManualClock(start_ms=1000)
         self.knowledge = EndpointKnowledge(clock=self.clock)
--- a/wingfall/gateway/rules/placement/engine_groups.py
+++ b/wingfall/gateway/rules/placement/engine_groups.py
@@ -136,8 +136,8 @@
         self.closed = closed
 
 
-EngineGroups = Callable[['PoolState'], 'EngineGrouping | None']
-engine_groups: Final[Registry[EngineGroups]] = Registry(kind='engine groups')
+EngineGroupPolicy = Callable[['PoolState'], 'EngineGrouping | None']
+engine_groups: Final[Registry[EngineGroupPolicy]] = Registry(kind='engine groups')
 
 
 @engine_groups.register('none')
--- a/wingfall/gateway/rules/placement/kept_engines.py
+++ b/wingfall/gateway/rules/placement/kept_engines.py
@@ -19,7 +19,7 @@
     from wingfall.gateway.model.pool_endpoint import PoolEndpoint
     from wingfall.gateway.model.routes import Routes
     from wingfall.gateway.rules.placement.candidate import Demand
-    from wingfall.gateway.rules.placement.engine_groups import EngineGroups
+    from wingfall.gateway.rules.placement.engine_groups import EngineGroupPolicy
     from wingfall.metrics import Metrics
 
 # Minimum time between two updates of a pool: other gateways report their loads
@@ -40,7 +40,7 @@
         *,
         clock: Clock,
         knowledge: EndpointKnowledge,
-        parts_pool: EngineGroups,
+        parts_pool: EngineGroupPolicy,
         metrics: Metrics | None = None,
     ) -> None:
         """Create an instance without groups.
--- a/wingfall/gateway/rules/placement/pool_groups.py
+++ b/wingfall/gateway/rules/placement/pool_groups.py
@@ -20,7 +20,7 @@
     from wingfall.gateway.model.routes import Routes
     from wingfall.gateway.rules.placement.candidate import Demand
     from wingfall.gateway.rules.placement.engine_groups import (
-        EngineGroups,
+        EngineGroupPolicy,
         EngineGrouping,
     )
     from wingfall.metrics import Metrics
@@ -65,7 +65,7 @@
         *,
         pool: str,
         knowledge: EndpointKnowledge,
-        parts_pool: EngineGroups,
+        parts_pool: EngineGroupPolicy,
         metrics: Metrics | None,
     ) -> None:
         """Create a pool without groups.
--- a/wingfall/gateway/rules/policies.py
+++ b/wingfall/gateway/rules/policies.py
@@ -33,7 +33,7 @@
     from wingfall.gateway.rules.pacing.rate_share import RateShare
     from wingfall.gateway.rules.placement.cache_transfer import CacheTransfer
     from wingfall.gateway.rules.placement.endpoint_choice import Placement
-    from wingfall.gateway.rules.placement.engine_groups import EngineGroups
+    from wingfall.gateway.rules.placement.engine_groups import EngineGroupPolicy
     from wingfall.gateway.rules.placement.shared_read import SharedRead
     from wingfall.gateway.rules.placement.stream_backup import StreamBackup
 
@@ -63,7 +63,7 @@
         shared_read: SharedRead,
         stream_backup: StreamBackup,
         rate_share: RateShare,
-        engine_groups: EngineGroups,
+        engine_groups: EngineGroupPolicy,
         read_rates: RatesFactory,
         start_estimates: StartEstimatesFactory,
     ) -> None:
