--- a/tests/test_engine_groups.py
+++ b/tests/test_engine_groups.py
@@ -11,7 +11,7 @@
 from wingfall.gateway.rules.placement.engine_groups import (
     EngineGrouping,
     PoolState,
-    keep_none,
+    reserve_none,
     part_by_gap,
 )
 
@@ -106,7 +106,7 @@
 
 
 def test_baseline_parts_nothing():
-    assert keep_none(make_pool(make_engines(), streams={SHORT_MS: 400})) is None
+    assert reserve_none(make_pool(make_engines(), streams={SHORT_MS: 400})) is None
 
 
 def test_quick_engines_keep_short_gaps_beside_reads():
--- a/tests/test_kept_engines.py
+++ b/tests/test_kept_engines.py
@@ -16,7 +16,7 @@
 from wingfall.gateway.rules.placement.candidate import Demand
 from wingfall.gateway.rules.placement.engine_groups import (
     EngineGroupPolicy,
-    keep_none,
+    reserve_none,
     part_by_gap,
 )
 from wingfall.gateway.rules.placement.group_size import GroupSize
@@ -133,7 +133,7 @@
 
 
 def test_baseline_narrows_nothing():
-    simulated = Gateway(keep_none)
+    simulated = Gateway(reserve_none)
     simulated.start_streams(300)
     simulated.advance(3)
     assert simulated.choose(SHORT) == simulated.choose(LONG) == QUICK | SLOW
--- a/wingfall/gateway/assembly.py
+++ b/wingfall/gateway/assembly.py
@@ -12,7 +12,7 @@
 from wingfall.gateway.knowledge.full_gaps import FullGaps
 from wingfall.gateway.model.binding import bindings
 from wingfall.gateway.rules.crashes.request_blocks import RequestBlocks
-from wingfall.gateway.rules.placement.engine_groups import keep_none
+from wingfall.gateway.rules.placement.engine_groups import reserve_none
 from wingfall.gateway.rules.policies import find_policies
 from wingfall.gateway.rules.retries.retry_budget import RetryBudget
 from wingfall.gateway.state import GatewayState
@@ -63,7 +63,7 @@
         start_estimates=policies.start_estimates(fixed_time=rates.fixed_ms),
         full_gaps=FullGaps(
             clock=clock,
-            reports_gaps=policies.engine_groups is not keep_none,
+            reports_gaps=policies.engine_groups is not reserve_none,
         ),
         large_pool=settings.policy.large_pool,
         short_gap_ms=settings.policy.short_gap_ms,
--- a/wingfall/gateway/rules/placement/engine_groups.py
+++ b/wingfall/gateway/rules/placement/engine_groups.py
@@ -141,7 +141,7 @@
 
 
 @engine_groups.register('none')
-def keep_none(pool: PoolState) -> None:
+def reserve_none(pool: PoolState) -> None:
     """Reserve no engines, as the baseline.
 
     :param pool: state of the pool, not used.
--- a/wingfall/gateway/rules/placement/kept_engines.py
+++ b/wingfall/gateway/rules/placement/kept_engines.py
@@ -10,7 +10,7 @@
 
 from typing import TYPE_CHECKING, Any, Final, final
 
-from wingfall.gateway.rules.placement.engine_groups import keep_none
+from wingfall.gateway.rules.placement.engine_groups import reserve_none
 from wingfall.gateway.rules.placement.pool_groups import PoolGroups
 
 if TYPE_CHECKING:
@@ -69,7 +69,7 @@
         :param usable: engines of one pool that take new work.
         :returns: the allowed engines, all if none is reserved.
         """
-        if not usable or self._group_policy is keep_none:
+        if not usable or self._group_policy is reserve_none:
             return usable
         groups = self._find_or_create(usable[0].pool)
         groups.note_prompt(demand)
