--- a/tests/test_engine_groups.py
+++ b/tests/test_engine_groups.py
@@ -12,7 +12,7 @@
     EngineGrouping,
     PoolState,
     reserve_none,
-    part_by_gap,
+    group_by_gap,
 )
 
 SHORT_MS = 200
@@ -63,7 +63,7 @@
 
 def group(members: list[PoolEngine], **fields: object) -> EngineGrouping:
     """Return the grouping of a pool, which must not be None."""
-    grouping = part_by_gap(make_pool(members, **fields))
+    grouping = group_by_gap(make_pool(members, **fields))
     assert grouping is not None
     return grouping
 
@@ -102,7 +102,7 @@
     ],
 )
 def test_pool_without_need_has_no_groups(ungrouped: PoolState):
-    assert part_by_gap(ungrouped) is None
+    assert group_by_gap(ungrouped) is None
 
 
 def test_baseline_parts_nothing():
@@ -149,10 +149,10 @@
 
 def test_reads_stay_harmless_until_gaps_are_clearly_too_long():
     longer = make_engines(quick_ms=215)
-    assert part_by_gap(make_pool(longer)) is None
+    assert group_by_gap(make_pool(longer)) is None
     grouping = group(longer, fit={SHORT_MS: 1})
     assert grouping.fit_counts[SHORT_MS] == len(QUICK)
-    assert part_by_gap(make_pool(make_engines(250), fit={SHORT_MS: 1})) is None
+    assert group_by_gap(make_pool(make_engines(250), fit={SHORT_MS: 1})) is None
 
 
 def test_odd_stream_does_not_make_reads_harmful():
--- a/tests/test_kept_engines.py
+++ b/tests/test_kept_engines.py
@@ -17,7 +17,7 @@
 from wingfall.gateway.rules.placement.engine_groups import (
     EngineGroupPolicy,
     reserve_none,
-    part_by_gap,
+    group_by_gap,
 )
 from wingfall.gateway.rules.placement.group_size import GroupSize
 from wingfall.gateway.rules.placement.kept_engines import KeptEngines
@@ -60,7 +60,7 @@
 class Gateway:
     """A gateway's knowledge of a pool with quick and slow engines."""
 
-    def __init__(self, parts_pool: EngineGroupPolicy = part_by_gap) -> None:
+    def __init__(self, parts_pool: EngineGroupPolicy = group_by_gap) -> None:
         """Create a gateway with token gap samples of all engines."""
         self.clock = ManualClock(start_ms=1000)
         self.knowledge = EndpointKnowledge(clock=self.clock)
--- a/wingfall/gateway/rules/placement/engine_groups.py
+++ b/wingfall/gateway/rules/placement/engine_groups.py
@@ -149,7 +149,7 @@
 
 
 @engine_groups.register('by_gap')
-def part_by_gap(pool: PoolState) -> EngineGrouping | None:
+def group_by_gap(pool: PoolState) -> EngineGrouping | None:
     """Group the engines of a pool by the token gap bounds of its streams.
 
     :param pool: state of the pool.
