--- a/tests/load_replay.py
+++ b/tests/load_replay.py
@@ -262,7 +262,7 @@
             kept_engines=KeptEngines(
                 clock=clock,
                 knowledge=self.knowledge,
-                parts_pool=engine_groups.find(
+                group_policy=engine_groups.find(
                     policies.get('engine_groups', 'none')
                 ).unwrap(),
             ),
--- a/tests/test_kept_engines.py
+++ b/tests/test_kept_engines.py
@@ -60,12 +60,12 @@
 class Gateway:
     """A gateway's knowledge of a pool with quick and slow engines."""
 
-    def __init__(self, parts_pool: EngineGroupPolicy = group_by_gap) -> None:
+    def __init__(self, group_policy: EngineGroupPolicy = group_by_gap) -> None:
         """Create a gateway with token gap samples of all engines."""
         self.clock = ManualClock(start_ms=1000)
         self.knowledge = EndpointKnowledge(clock=self.clock)
         self.reserved = KeptEngines(
-            clock=self.clock, knowledge=self.knowledge, parts_pool=parts_pool
+            clock=self.clock, knowledge=self.knowledge, group_policy=group_policy
         )
         for name in sorted(QUICK | SLOW):
             self._add(name, 80 if name in QUICK else 360)
--- a/wingfall/gateway/rules/placement/kept_engines.py
+++ b/wingfall/gateway/rules/placement/kept_engines.py
@@ -40,19 +40,19 @@
         *,
         clock: Clock,
         knowledge: EndpointKnowledge,
-        parts_pool: EngineGroupPolicy,
+        group_policy: EngineGroupPolicy,
         metrics: Metrics | None = None,
     ) -> None:
         """Create an instance without groups.
 
         :param clock: clock that gives the current time.
         :param knowledge: loads, rates and token gaps of the engines.
-        :param parts_pool: policy that decides which engines are reserved.
+        :param group_policy: policy that decides which engines are reserved.
         :param metrics: metrics that count the changes of groups, if given.
         """
         self._clock = clock
         self._knowledge = knowledge
-        self._group_policy = parts_pool
+        self._group_policy = group_policy
         self._metrics = metrics
         self._pools: dict[str, PoolGroups] = {}
 
@@ -119,7 +119,7 @@
             groups = PoolGroups(
                 pool=pool,
                 knowledge=self._knowledge,
-                parts_pool=self._group_policy,
+                group_policy=self._group_policy,
                 metrics=self._metrics,
             )
             self._pools[pool] = groups
--- a/wingfall/gateway/rules/placement/pool_groups.py
+++ b/wingfall/gateway/rules/placement/pool_groups.py
@@ -65,19 +65,19 @@
         *,
         pool: str,
         knowledge: EndpointKnowledge,
-        parts_pool: EngineGroupPolicy,
+        group_policy: EngineGroupPolicy,
         metrics: Metrics | None,
     ) -> None:
         """Create a pool without groups.
 
         :param pool: name of the pool.
         :param knowledge: loads, rates and token gaps of the engines.
-        :param parts_pool: policy that decides which engines are reserved.
+        :param group_policy: policy that decides which engines are reserved.
         :param metrics: metrics that count the changes, if given.
         """
         self._pool = pool
         self._knowledge = knowledge
-        self._group_policy = parts_pool
+        self._group_policy = group_policy
         self._metrics = metrics
         self._prompt_lengths = PromptKinds()
         self._snapshot = PoolLook(usable=(), knowledge=knowledge)
--- a/wingfall/gateway/state.py
+++ b/wingfall/gateway/state.py
@@ -98,7 +98,7 @@
         self.kept_engines = KeptEngines(
             clock=clock,
             knowledge=knowledge,
-            parts_pool=policies.engine_groups,
+            group_policy=policies.engine_groups,
             metrics=metrics,
         )
         # The configuration in force; only the object applier replaces it.
