--- a/tests/test_kept_engines.py
+++ b/tests/test_kept_engines.py
@@ -20,7 +20,7 @@
     group_by_gap,
 )
 from wingfall.gateway.rules.placement.group_size import GroupSize
-from wingfall.gateway.rules.placement.kept_engines import KeptEngines
+from wingfall.gateway.rules.placement.reserved_engines import KeptEngines
 
 POOL = 'engines'
 SHORT_MS = 200
--- a/wingfall/gateway/calls/destination.py
+++ b/wingfall/gateway/calls/destination.py
@@ -173,7 +173,7 @@
         long_reads=knowledge.long_reads.tokens(endpoint.name),
         unseen_tokens=random.uniform(0, _MAX_UNREPORTED_TOKENS),  # noqa: S311
         failing=knowledge.health.failing(endpoint.name),
-        safe_gap_ms=state.kept_engines.safe_gap_ms(
+        safe_gap_ms=state.reserved_engines.safe_gap_ms(
             endpoint.pool, endpoint.name
         ),
     )
--- a/wingfall/gateway/calls/engine_group.py
+++ b/wingfall/gateway/calls/engine_group.py
@@ -28,9 +28,9 @@
     if not (endpoints and demand.is_prompt and state.routes):
         return endpoints
     if not state.knowledge.judges_together(endpoints[0].pool):
-        state.kept_engines.forget(endpoints[0].pool)
+        state.reserved_engines.forget(endpoints[0].pool)
         return endpoints
-    group = state.kept_engines.narrow(state.routes, demand, endpoints)
+    group = state.reserved_engines.narrow(state.routes, demand, endpoints)
     if group is endpoints or any(is_available(each.name) for each in group):
         return group
     return endpoints
--- a/wingfall/gateway/status.py
+++ b/wingfall/gateway/status.py
@@ -42,7 +42,7 @@
         'resting_endpoints': signals.rests.resting_names,
         'engine_rates': _show_rates(state),
         'start_errors': list_start_errors(state.knowledge.start_estimates),
-        'engine_groups': state.kept_engines.status(),
+        'engine_groups': state.reserved_engines.status(),
         'duties': duties,
     }
 
