--- a/tests/load_replay.py
+++ b/tests/load_replay.py
@@ -48,7 +48,7 @@
 from wingfall.gateway.rules.placement.cache_transfer import copy_nothing
 from wingfall.gateway.rules.placement.endpoint_choice import place_by_reading
 from wingfall.gateway.rules.placement.engine_groups import engine_groups
-from wingfall.gateway.rules.placement.reserved_engines import KeptEngines
+from wingfall.gateway.rules.placement.reserved_engines import ReservedEngines
 from wingfall.gateway.rules.placement.stream_backup import back_up_nothing
 from wingfall.gateway.rules.retries.retry import (
     CallProgress,
@@ -259,7 +259,7 @@
                 rate_share=share_among_few,
             ),
             held_calls=DeferredCalls(),
-            reserved_engines=KeptEngines(
+            reserved_engines=ReservedEngines(
                 clock=clock,
                 knowledge=self.knowledge,
                 group_policy=engine_groups.find(
--- a/tests/test_kept_engines.py
+++ b/tests/test_kept_engines.py
@@ -20,7 +20,7 @@
     group_by_gap,
 )
 from wingfall.gateway.rules.placement.group_size import GroupSize
-from wingfall.gateway.rules.placement.reserved_engines import KeptEngines
+from wingfall.gateway.rules.placement.reserved_engines import ReservedEngines
 
 POOL = 'engines'
 SHORT_MS = 200
@@ -64,7 +64,7 @@
         """Create a gateway with token gap samples of all engines."""
         self.clock = ManualClock(start_ms=1000)
         self.knowledge = EndpointKnowledge(clock=self.clock)
-        self.reserved = KeptEngines(
+        self.reserved = ReservedEngines(
             clock=self.clock, knowledge=self.knowledge, group_policy=group_policy
         )
         for name in sorted(QUICK | SLOW):
--- a/wingfall/gateway/rules/placement/kept_engines.py
+++ b/wingfall/gateway/rules/placement/kept_engines.py
@@ -30,7 +30,7 @@
 
 
 @final
-class KeptEngines:
+class ReservedEngines:
     """The reserved engines of all pools."""
 
     __slots__ = ('_clock', '_knowledge', '_metrics', '_group_policy', '_pools')
--- a/wingfall/gateway/state.py
+++ b/wingfall/gateway/state.py
@@ -9,7 +9,7 @@
 
 from wingfall.gateway.rules.admission.fair_shares import FairShares
 from wingfall.gateway.rules.admission.held_calls import DeferredCalls
-from wingfall.gateway.rules.placement.reserved_engines import KeptEngines
+from wingfall.gateway.rules.placement.reserved_engines import ReservedEngines
 
 if TYPE_CHECKING:
     from wingfall.clock import Clock
@@ -95,7 +95,7 @@
         # How far customers are above their shares of pools.
         self.fair_shares = FairShares(clock=clock, knowledge=knowledge)
         # Engines that are kept for streams with short gaps.
-        self.reserved_engines = KeptEngines(
+        self.reserved_engines = ReservedEngines(
             clock=clock,
             knowledge=knowledge,
             group_policy=policies.engine_groups,
