--- a/tests/test_kept_engines.py
+++ b/tests/test_kept_engines.py
@@ -79,7 +79,7 @@
     def choose(self, demand: Demand) -> set[str]:
         """Return the names of the engines that a prompt may go to."""
         usable = self.knowledge.table.usable(POOL)
-        chosen = self.reserved.narrow(ROUTES, demand, usable)
+        chosen = self.reserved.allowed_engines(ROUTES, demand, usable)
         return {each.name for each in chosen}
 
     def advance(self, seconds: float, *, long_prompts: bool = True) -> None:
--- a/wingfall/gateway/rules/placement/kept_engines.py
+++ b/wingfall/gateway/rules/placement/kept_engines.py
@@ -56,7 +56,7 @@
         self._metrics = metrics
         self._pools: dict[str, PoolGroups] = {}
 
-    def narrow(
+    def allowed_engines(
         self,
         routes: Routes,
         demand: Demand,
@@ -80,7 +80,7 @@
         )
         if last_ms is None or now_ms - last_ms >= interval_ms:
             groups.refresh(routes, usable, now_ms)
-        return groups.narrow(demand, usable)
+        return groups.allowed_engines(demand, usable)
 
     def forget(self, pool: str) -> None:
         """Remove all groups of a pool.
--- a/wingfall/gateway/rules/placement/pool_groups.py
+++ b/wingfall/gateway/rules/placement/pool_groups.py
@@ -102,7 +102,7 @@
         """
         self._prompt_lengths.note(demand)
 
-    def narrow(
+    def allowed_engines(
         self,
         demand: Demand,
         usable: list[PoolEndpoint],
