--- a/wingfall/gateway/rules/placement/engine_classes.py
+++ b/wingfall/gateway/rules/placement/engine_classes.py
@@ -72,7 +72,7 @@
         self.typical_gap_ms = typical_gap_ms
 
 
-def class_engines(
+def classify_engines(
     engines: Sequence[PoolEngine],
     classes: Mapping[str, int],
 ) -> dict[str, int]:
--- a/wingfall/gateway/rules/placement/engine_groups.py
+++ b/wingfall/gateway/rules/placement/engine_groups.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, Callable, Final, final
 
 from wingfall.gateway.rules.placement.engine_classes import (
-    class_engines,
+    classify_engines,
     class_gaps,
     count_fit,
 )
@@ -160,7 +160,7 @@
     """
     if len(pool.engines) <= _SMALL_POOL_ENGINES or len(pool.gap_bounds_ms) < 2:
         return None
-    classes = class_engines(pool.engines, pool.classes)
+    classes = classify_engines(pool.engines, pool.classes)
     gaps = class_gaps(pool.engines, classes)
     if not gaps or not _is_separable(classes):
         return None
