--- a/wingfall/gateway/rules/placement/engine_classes.py
+++ b/wingfall/gateway/rules/placement/engine_classes.py
@@ -99,7 +99,7 @@
     return updated
 
 
-def class_gaps(
+def estimate_class_gaps(
     engines: Iterable[PoolEngine],
     classes: Mapping[str, int],
 ) -> dict[int, float]:
--- a/wingfall/gateway/rules/placement/engine_groups.py
+++ b/wingfall/gateway/rules/placement/engine_groups.py
@@ -13,7 +13,7 @@
 
 from wingfall.gateway.rules.placement.engine_classes import (
     classify_engines,
-    class_gaps,
+    estimate_class_gaps,
     count_fit,
 )
 from wingfall.registry import Registry
@@ -161,7 +161,7 @@
     if len(pool.engines) <= _SMALL_POOL_ENGINES or len(pool.gap_bounds_ms) < 2:
         return None
     classes = classify_engines(pool.engines, pool.classes)
-    gaps = class_gaps(pool.engines, classes)
+    gaps = estimate_class_gaps(pool.engines, classes)
     if not gaps or not _is_separable(classes):
         return None
     engines = sorted(
