--- a/wingfall/gateway/rules/placement/engine_groups.py
+++ b/wingfall/gateway/rules/placement/engine_groups.py
@@ -14,7 +14,7 @@
 from wingfall.gateway.rules.placement.engine_classes import (
     classify_engines,
     estimate_class_gaps,
-    count_fit,
+    count_fit_classes,
 )
 from wingfall.registry import Registry
 
@@ -169,7 +169,7 @@
         key=lambda each: (classes[each.name], _hash_rank(pool.name, each.name)),
     )
     fit = {
-        gap_ms: count_fit(gaps, gap_ms, pool.fit.get(gap_ms, 0))
+        gap_ms: count_fit_classes(gaps, gap_ms, pool.fit.get(gap_ms, 0))
         for gap_ms in pool.gap_bounds_ms
     }
     fit_counts = {
