--- a/wingfall/gateway/rules/placement/pool_groups.py
+++ b/wingfall/gateway/rules/placement/pool_groups.py
@@ -9,7 +9,7 @@
 
 from wingfall.gateway.rules.placement.engine_groups import PoolState
 from wingfall.gateway.rules.placement.gap_group import GapGroup
-from wingfall.gateway.rules.placement.pool_look import PoolLook
+from wingfall.gateway.rules.placement.pool_look import PoolSnapshot
 from wingfall.gateway.rules.placement.prompt_kinds import PromptKinds
 
 if TYPE_CHECKING:
@@ -80,7 +80,7 @@
         self._group_policy = group_policy
         self._metrics = metrics
         self._prompt_lengths = PromptKinds()
-        self._snapshot = PoolLook(usable=(), knowledge=knowledge)
+        self._snapshot = PoolSnapshot(usable=(), knowledge=knowledge)
         # Clock time of the last update; None before the first one.
         self.refreshed_ms: int | None = None
         self._groups: dict[int, GapGroup] = {}
@@ -157,7 +157,7 @@
         """
         self.refreshed_ms = now_ms
         self._freeze_after_loss(len(usable), now_ms)
-        self._snapshot = PoolLook(usable=usable, knowledge=self._knowledge)
+        self._snapshot = PoolSnapshot(usable=usable, knowledge=self._knowledge)
         state = self._build_state(routes)
         grouping = self._group_policy(state)
         if grouping is None:
--- a/wingfall/gateway/rules/placement/pool_look.py
+++ b/wingfall/gateway/rules/placement/pool_look.py
@@ -26,7 +26,7 @@
 
 
 @final
-class PoolLook:
+class PoolSnapshot:
     """The engines of a pool and their loads at one moment."""
 
     __slots__ = ('_loads', '_slots', 'engines', 'has_long_prefills')
