--- a/wingfall/gateway/rules/placement/pool_groups.py
+++ b/wingfall/gateway/rules/placement/pool_groups.py
@@ -10,7 +10,7 @@
 from wingfall.gateway.rules.placement.engine_groups import PoolState
 from wingfall.gateway.rules.placement.gap_group import GapGroup
 from wingfall.gateway.rules.placement.pool_look import PoolSnapshot
-from wingfall.gateway.rules.placement.prompt_kinds import PromptKinds
+from wingfall.gateway.rules.placement.prompt_kinds import PromptLengths
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -79,7 +79,7 @@
         self._knowledge = knowledge
         self._group_policy = group_policy
         self._metrics = metrics
-        self._prompt_lengths = PromptKinds()
+        self._prompt_lengths = PromptLengths()
         self._snapshot = PoolSnapshot(usable=(), knowledge=knowledge)
         # Clock time of the last update; None before the first one.
         self.refreshed_ms: int | None = None
--- a/wingfall/gateway/rules/placement/prompt_kinds.py
+++ b/wingfall/gateway/rules/placement/prompt_kinds.py
@@ -15,7 +15,7 @@
 
 
 @final
-class PromptKinds:
+class PromptLengths:
     """The mean length of the prompts of each token gap target."""
 
     __slots__ = ('_mean_tokens',)
