--- a/tests/test_cache_transfer.py
+++ b/tests/test_cache_transfer.py
@@ -40,7 +40,7 @@
 
 
 def test_engine_that_fails_is_not_copied_from():
-    faulty, healthy = engine('failing', 5000, failing=0.5), engine('ok', 2000)
+    faulty, healthy = engine('failing', 5000, failure_rate=0.5), engine('ok', 2000)
     assert copy_from_most_kept([faulty, healthy], SPEEDUP) is healthy
     assert copy_from_most_kept([faulty], SPEEDUP) is None
 
--- a/tests/test_call_rules.py
+++ b/tests/test_call_rules.py
@@ -190,7 +190,7 @@
     route = SimpleNamespace(streaming=streaming, resumable=resumable)
     demand = Demand(is_prompt=True, tokens=1000, output_tokens=output_tokens)
     candidates = [
-        Candidate(name='failing', failing=failure_rate),
+        Candidate(name='failing', failure_rate=failure_rate),
         Candidate(name='busy', running=10, prefill_tokens=500),
     ]
     chosen = destination._choose_backup(
--- a/tests/test_endpoint_health.py
+++ b/tests/test_endpoint_health.py
@@ -34,11 +34,11 @@
     health = EndpointHealth(clock=clock)
     for _failure in range(5):
         health.note_failure('one')
-    failure_rate = health.failing('one')
+    failure_rate = health.failure_rate('one')
     assert round(failure_rate * 10) == 7
     clock.advance(5000)
-    assert math.isclose(health.failing('one'), failure_rate / 2)
-    assert not health.failing('two')
+    assert math.isclose(health.failure_rate('one'), failure_rate / 2)
+    assert not health.failure_rate('two')
 
 
 def test_endpoints_that_left_are_forgotten(clock: ManualClock):
@@ -54,7 +54,7 @@
         health.note_failure('one')
     clock.advance(60_000)
     health.note_success('one')
-    assert not round(health.failing('one') * 100)
+    assert not round(health.failure_rate('one') * 100)
 
 
 def test_peers_tell_of_failures(clock: ManualClock):
@@ -67,18 +67,18 @@
     assert (unreported['one'].failed, unreported['one'].served) == (6, 1)
     assert not reporter.take_unsent()
     receiver.merge_from_peer('one', unreported['one'])
-    assert reporter.failing('one') > receiver.failing('one')
-    assert round(receiver.failing('one') * 10) == 4
+    assert reporter.failure_rate('one') > receiver.failure_rate('one')
+    assert round(receiver.failure_rate('one') * 10) == 4
 
 
 def test_what_peers_are_served_ends_failures(clock: ManualClock):
     health = EndpointHealth(clock=clock)
     health.merge_from_peer('one', Outcomes(failed=10))
-    failure_rate = health.failing('one')
+    failure_rate = health.failure_rate('one')
     health.merge_from_peer('one', Outcomes(served=10))
-    assert health.failing('one') < failure_rate / 2
+    assert health.failure_rate('one') < failure_rate / 2
     health.merge_from_peer('two', Outcomes(served=10))
-    assert not health.failing('two')
+    assert not health.failure_rate('two')
 
 
 def test_what_is_heard_is_not_told_again(clock: ManualClock):
--- a/tests/test_load_exchange.py
+++ b/tests/test_load_exchange.py
@@ -117,8 +117,8 @@
         gateway.health.note_failure('e1')
     site.tick()
     site.tick()
-    failing = [each.health.failing('e1') for each in site.gateways]
-    assert min(round(each * 10) for each in failing) >= 6
+    failure_rate = [each.health.failure_rate('e1') for each in site.gateways]
+    assert min(round(each * 10) for each in failure_rate) >= 6
 
 
 def test_change_of_the_relay_is_told(
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -98,7 +98,7 @@
 
 def test_plain_request_avoids_an_endpoint_that_fails():
     demand = Demand()
-    faulty = Candidate(name='failing', slots=6, failing=0.5)
+    faulty = Candidate(name='failing', slots=6, failure_rate=0.5)
     busy = Candidate(name='busy', slots=6, running=4)
     assert choose(demand, faulty, busy) == 'busy'
 
--- a/wingfall/gateway/calls/attempt_log.py
+++ b/wingfall/gateway/calls/attempt_log.py
@@ -91,5 +91,5 @@
         'idle_gap_ms': int(speed.idle_gap_ms),
         'full_gap_ms': int(speed.full_gap_ms or 0),
         'rate': round(speed.rate.tokens_per_ms, 1),
-        'failing': round(candidate.failing, 2),
+        'failing': round(candidate.failure_rate, 2),
     }
--- a/wingfall/gateway/calls/destination.py
+++ b/wingfall/gateway/calls/destination.py
@@ -172,7 +172,7 @@
         speed=knowledge.speed(endpoint.name),
         long_reads=knowledge.long_reads.tokens(endpoint.name),
         unseen_tokens=random.uniform(0, _MAX_UNREPORTED_TOKENS),  # noqa: S311
-        failing=knowledge.health.failing(endpoint.name),
+        failure_rate=knowledge.health.failure_rate(endpoint.name),
         safe_gap_ms=state.reserved_engines.safe_gap_ms(
             endpoint.pool, endpoint.name
         ),
--- a/wingfall/gateway/knowledge/endpoint_health.py
+++ b/wingfall/gateway/knowledge/endpoint_health.py
@@ -152,7 +152,7 @@
         record = self._records.get(name)
         return record is not None and record.until_ms > self._clock.now_ms()
 
-    def failing(self, name: str) -> float:
+    def failure_rate(self, name: str) -> float:
         """Return the failure rate of an endpoint.
 
         :param name: name of the endpoint.
--- a/wingfall/gateway/rules/placement/cache_transfer.py
+++ b/wingfall/gateway/rules/placement/cache_transfer.py
@@ -46,7 +46,7 @@
     usable = [
         each
         for each in candidates
-        if each.failing < MOST_FAILING
+        if each.failure_rate < MOST_FAILING
         and each.cached_tokens >= _MIN_COPY_TOKENS
     ]
     if speedup < _MIN_SPEEDUP:
--- a/wingfall/gateway/rules/placement/candidate.py
+++ b/wingfall/gateway/rules/placement/candidate.py
@@ -17,7 +17,7 @@
     __slots__ = (
         'cached_tokens',
         'copied_tokens',
-        'failing',
+        'failure_rate',
         'all_cached_tokens',
         'memory_tokens',
         'memory_used',
@@ -50,7 +50,7 @@
         speed: EngineSpeed | None = None,
         long_reads: float = 0,
         unseen_tokens: float = 0,
-        failing: float = 0,
+        failure_rate: float = 0,
         safe_gap_ms: int | None = None,
     ) -> None:
         """Describe an endpoint.
@@ -72,7 +72,7 @@
         :param long_reads: tokens of long prefills sent recently.
         :param unseen_tokens: estimate of tokens that other gateways sent
             but have not reported yet.
-        :param failing: fraction of its requests that fail, 0 to 1.
+        :param failure_rate: fraction of its requests that fail, 0 to 1.
         :param safe_gap_ms: the shortest token gap bound that is met during
             continuous prefill, None if unknown.
         """
@@ -90,7 +90,7 @@
         self.speed = speed or EngineSpeed()
         self.long_reads = long_reads
         self.unseen_tokens = unseen_tokens
-        self.failing = failing
+        self.failure_rate = failure_rate
         self.safe_gap_ms = safe_gap_ms
 
     def is_safe(self, gap_ms: int) -> bool:
--- a/wingfall/gateway/rules/placement/endpoint_choice.py
+++ b/wingfall/gateway/rules/placement/endpoint_choice.py
@@ -117,7 +117,7 @@
     cost += late_streams(demand, candidate, uncached) * _LATE_GAP_COST_TOKENS
     cost += late_start(demand, candidate, uncached) * _LATE_START_COST_TOKENS
     cost += candidate.all_cached_tokens * _CACHED_TOKEN_WEIGHT
-    cost += candidate.failing * _FAILING_COST_TOKENS
+    cost += candidate.failure_rate * _FAILING_COST_TOKENS
     if candidate.remote:
         cost += demand.body_bytes * _TOKENS_PER_REMOTE_BYTE
     if candidate.running >= candidate.slots or _lacks_memory(demand, candidate):
@@ -131,7 +131,7 @@
     :param candidate: the endpoint.
     :returns: the cost in running requests.
     """
-    cost = candidate.running + candidate.failing * _FAILING_COST_REQUESTS
+    cost = candidate.running + candidate.failure_rate * _FAILING_COST_REQUESTS
     if candidate.remote:
         cost += _REMOTE_COST_REQUESTS
     if candidate.running >= candidate.slots:
--- a/wingfall/gateway/rules/placement/stream_backup.py
+++ b/wingfall/gateway/rules/placement/stream_backup.py
@@ -83,7 +83,7 @@
     :param place: rule that chooses among engines.
     :returns: the backup engine, None for no backup.
     """
-    healthy = [each for each in candidates if each.failing < MOST_FAILING]
+    healthy = [each for each in candidates if each.failure_rate < MOST_FAILING]
     length = RunLength(
         prompt_tokens=demand.tokens,
         output_tokens=demand.output_tokens,
