--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -142,4 +142,4 @@
 
 
 def test_guess_at_unseen_reads_parts_equals():
-    assert choose(prompt(), engine('a', unseen_tokens=10), engine('b')) == 'b'
+    assert choose(prompt(), engine('a', unreported_tokens=10), engine('b')) == 'b'
--- a/wingfall/gateway/calls/destination.py
+++ b/wingfall/gateway/calls/destination.py
@@ -171,7 +171,7 @@
         streams=load.streams,
         speed=knowledge.speed(endpoint.name),
         long_reads=knowledge.long_reads.tokens(endpoint.name),
-        unseen_tokens=random.uniform(0, _MAX_UNREPORTED_TOKENS),  # noqa: S311
+        unreported_tokens=random.uniform(0, _MAX_UNREPORTED_TOKENS),  # noqa: S311
         failure_rate=knowledge.health.failure_rate(endpoint.name),
         safe_gap_ms=state.reserved_engines.safe_gap_ms(
             endpoint.pool, endpoint.name
--- a/wingfall/gateway/rules/placement/candidate.py
+++ b/wingfall/gateway/rules/placement/candidate.py
@@ -30,7 +30,7 @@
         'slots',
         'speed',
         'streams',
-        'unseen_tokens',
+        'unreported_tokens',
     )
 
     def __init__(
@@ -49,7 +49,7 @@
         streams: dict[int, int] | None = None,
         speed: EngineSpeed | None = None,
         long_reads: float = 0,
-        unseen_tokens: float = 0,
+        unreported_tokens: float = 0,
         failure_rate: float = 0,
         safe_gap_ms: int | None = None,
     ) -> None:
@@ -70,7 +70,7 @@
             milliseconds.
         :param speed: measured prefill rate and token gaps.
         :param long_reads: tokens of long prefills sent recently.
-        :param unseen_tokens: estimate of tokens that other gateways sent
+        :param unreported_tokens: estimate of tokens that other gateways sent
             but have not reported yet.
         :param failure_rate: fraction of its requests that fail, 0 to 1.
         :param safe_gap_ms: the shortest token gap bound that is met during
@@ -89,7 +89,7 @@
         self.streams = streams or {}
         self.speed = speed or EngineSpeed()
         self.long_reads = long_reads
-        self.unseen_tokens = unseen_tokens
+        self.unreported_tokens = unreported_tokens
         self.failure_rate = failure_rate
         self.safe_gap_ms = safe_gap_ms
 
--- a/wingfall/gateway/rules/placement/endpoint_choice.py
+++ b/wingfall/gateway/rules/placement/endpoint_choice.py
@@ -112,7 +112,7 @@
     uncached = demand.tokens - reused
     cost = uncached_shared * _RECOMPUTED_WEIGHT
     cost += candidate.copied_tokens * _COPIED_WEIGHT
-    cost += candidate.prefill_tokens + candidate.unseen_tokens
+    cost += candidate.prefill_tokens + candidate.unreported_tokens
     cost += candidate.running * _RUNNING_COST_TOKENS
     cost += late_streams(demand, candidate, uncached) * _LATE_GAP_COST_TOKENS
     cost += late_start(demand, candidate, uncached) * _LATE_START_COST_TOKENS
