--- a/wingfall/gateway/calls/destination.py
+++ b/wingfall/gateway/calls/destination.py
@@ -167,7 +167,7 @@
         memory_used=load.memory_used,
         memory_tokens=memory_tokens,
         cached_tokens=cached,
-        all_cached_tokens=all_cached,
+        total_cached_tokens=all_cached,
         streams=load.streams,
         speed=knowledge.speed(endpoint.name),
         long_reads=knowledge.long_reads.tokens(endpoint.name),
--- a/wingfall/gateway/rules/placement/candidate.py
+++ b/wingfall/gateway/rules/placement/candidate.py
@@ -18,7 +18,7 @@
         'cached_tokens',
         'copied_tokens',
         'failure_rate',
-        'all_cached_tokens',
+        'total_cached_tokens',
         'memory_tokens',
         'memory_used',
         'name',
@@ -45,7 +45,7 @@
         memory_tokens: int = 0,
         cached_tokens: int = 0,
         copied_tokens: int = 0,
-        all_cached_tokens: int = 0,
+        total_cached_tokens: int = 0,
         streams: dict[int, int] | None = None,
         speed: EngineSpeed | None = None,
         long_reads: float = 0,
@@ -65,7 +65,7 @@
         :param cached_tokens: tokens of this prompt that it caches.
         :param copied_tokens: tokens of this prompt that it would copy from
             another engine.
-        :param all_cached_tokens: cached tokens of all prompts.
+        :param total_cached_tokens: cached tokens of all prompts.
         :param streams: number of running streams by their token gap bound in
             milliseconds.
         :param speed: measured prefill rate and token gaps.
@@ -85,7 +85,7 @@
         self.memory_tokens = memory_tokens
         self.cached_tokens = cached_tokens
         self.copied_tokens = copied_tokens
-        self.all_cached_tokens = all_cached_tokens
+        self.total_cached_tokens = total_cached_tokens
         self.streams = streams or {}
         self.speed = speed or EngineSpeed()
         self.long_reads = long_reads
--- a/wingfall/gateway/rules/placement/endpoint_choice.py
+++ b/wingfall/gateway/rules/placement/endpoint_choice.py
@@ -116,7 +116,7 @@
     cost += candidate.running * _RUNNING_COST_TOKENS
     cost += late_streams(demand, candidate, uncached) * _LATE_GAP_COST_TOKENS
     cost += late_start(demand, candidate, uncached) * _LATE_START_COST_TOKENS
-    cost += candidate.all_cached_tokens * _CACHED_TOKEN_WEIGHT
+    cost += candidate.total_cached_tokens * _CACHED_TOKEN_WEIGHT
     cost += candidate.failure_rate * _FAILING_COST_TOKENS
     if candidate.remote:
         cost += demand.body_bytes * _TOKENS_PER_REMOTE_BYTE
