--- a/wingfall/gateway/rules/placement/candidate.py
+++ b/wingfall/gateway/rules/placement/candidate.py
@@ -93,7 +93,7 @@
         self.failure_rate = failure_rate
         self.safe_gap_ms = safe_gap_ms
 
-    def is_safe(self, gap_ms: int) -> bool:
+    def meets_gap_bound(self, gap_ms: int) -> bool:
         """Check if a stream meets its token gap bound during any prefill.
 
         :param gap_ms: token gap bound of the stream in milliseconds.
--- a/wingfall/gateway/rules/placement/endpoint_choice.py
+++ b/wingfall/gateway/rules/placement/endpoint_choice.py
@@ -76,10 +76,10 @@
     late = sum(
         speed.held_up_share(long_prefill, gap_ms) * count
         for gap_ms, count in candidate.streams.items()
-        if not candidate.is_safe(gap_ms)
+        if not candidate.meets_gap_bound(gap_ms)
     )
     gap_bound_ms = demand.gap_target_ms
-    if gap_bound_ms and not candidate.is_safe(gap_bound_ms):
+    if gap_bound_ms and not candidate.meets_gap_bound(gap_bound_ms):
         # Long prefills are assumed to continue at the recent rate.
         expected_tokens = candidate.long_reads
         late += speed.held_up_share(expected_tokens, gap_bound_ms)
