--- a/wingfall/gateway/rules/placement/cache_transfer.py
+++ b/wingfall/gateway/rules/placement/cache_transfer.py
@@ -24,7 +24,7 @@
 _MIN_SPEEDUP: Final = 4
 # Engines with at least this fraction of failed requests are excluded from
 # copying, as source or target. Above the failures of a day without faults.
-MOST_FAILING: Final = 0.3
+MAX_FAILURE_RATE: Final = 0.3
 
 CacheTransfer = Callable[['Sequence[Candidate]', float], 'Candidate | None']
 cache_transfers: Final[Registry[CacheTransfer]] = Registry(
@@ -46,7 +46,7 @@
     usable = [
         each
         for each in candidates
-        if each.failure_rate < MOST_FAILING
+        if each.failure_rate < MAX_FAILURE_RATE
         and each.cached_tokens >= _MIN_COPY_TOKENS
     ]
     if speedup < _MIN_SPEEDUP:
--- a/wingfall/gateway/rules/placement/stream_backup.py
+++ b/wingfall/gateway/rules/placement/stream_backup.py
@@ -10,7 +10,7 @@
 
 from typing import TYPE_CHECKING, Callable, Final, final
 
-from wingfall.gateway.rules.placement.cache_transfer import MOST_FAILING
+from wingfall.gateway.rules.placement.cache_transfer import MAX_FAILURE_RATE
 from wingfall.registry import Registry
 
 if TYPE_CHECKING:
@@ -83,7 +83,7 @@
     :param place: rule that chooses among engines.
     :returns: the backup engine, None for no backup.
     """
-    healthy = [each for each in candidates if each.failure_rate < MOST_FAILING]
+    healthy = [each for each in candidates if each.failure_rate < MAX_FAILURE_RATE]
     length = RunLength(
         prompt_tokens=demand.tokens,
         output_tokens=demand.output_tokens,
