--- a/wingfall/gateway/rules/placement/cache_transfer.py
+++ b/wingfall/gateway/rules/placement/cache_transfer.py
@@ -33,7 +33,7 @@
 
 
 @cache_transfers.register('most_kept')
-def copy_from_most_kept(
+def copy_from_largest_cache(
     candidates: Sequence[Candidate],
     speedup: float,
 ) -> Candidate | None:
