--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,7 +7,7 @@
 from wingfall.gateway.rules.placement.candidate import Candidate, Demand
 from wingfall.gateway.rules.placement.endpoint_choice import (
     late_start,
-    late_streams,
+    expected_late_streams,
     place_by_reading,
     place_by_running,
 )
@@ -111,7 +111,7 @@
 def test_short_read_may_join_streams_of_short_pauses():
     short_prompt = prompt(tokens=1000, shared=0)
     tight = engine('tight', streams={200: 4})
-    assert late_streams(short_prompt, tight, 1000) == pytest.approx(0)
+    assert expected_late_streams(short_prompt, tight, 1000) == pytest.approx(0)
     assert choose(short_prompt, tight, engine('busy', running=20)) == 'tight'
 
 
@@ -119,17 +119,17 @@
     demand = prompt()
     one = engine('one', streams={200: 1})
     four = engine('four', streams={200: 4})
-    base = late_streams(demand, one, 5000)
-    assert late_streams(demand, one, 9000) > base * 1.9
-    assert late_streams(demand, four, 5000) > base * 3.9
+    base = expected_late_streams(demand, one, 5000)
+    assert expected_late_streams(demand, one, 9000) > base * 1.9
+    assert expected_late_streams(demand, four, 5000) > base * 3.9
 
 
 def test_patient_streams_are_harmed_less():
     demand = prompt()
     tight = engine('tight', streams={200: 1})
     patient = engine('patient', streams={2000: 4})
-    base = late_streams(demand, tight, 5000)
-    assert late_streams(demand, patient, 5000) < base
+    base = expected_late_streams(demand, tight, 5000)
+    assert expected_late_streams(demand, patient, 5000) < base
 
 
 def test_late_start_is_weighed_against_harm():
--- a/wingfall/gateway/rules/placement/endpoint_choice.py
+++ b/wingfall/gateway/rules/placement/endpoint_choice.py
@@ -59,7 +59,7 @@
 placements: Final[Registry[Placement]] = Registry(kind='placement')
 
 
-def late_streams(
+def expected_late_streams(
     demand: Demand,
     candidate: Candidate,
     uncached: int,
@@ -114,7 +114,7 @@
     cost += candidate.copied_tokens * _COPIED_WEIGHT
     cost += candidate.prefill_tokens + candidate.unreported_tokens
     cost += candidate.running * _RUNNING_COST_TOKENS
-    cost += late_streams(demand, candidate, uncached) * _LATE_GAP_COST_TOKENS
+    cost += expected_late_streams(demand, candidate, uncached) * _LATE_GAP_COST_TOKENS
     cost += late_start(demand, candidate, uncached) * _LATE_START_COST_TOKENS
     cost += candidate.total_cached_tokens * _CACHED_TOKEN_WEIGHT
     cost += candidate.failure_rate * _FAILING_COST_TOKENS
