--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -6,7 +6,7 @@
 
 from wingfall.gateway.rules.placement.candidate import Candidate, Demand
 from wingfall.gateway.rules.placement.endpoint_choice import (
-    late_start,
+    late_start_probability,
     expected_late_streams,
     place_by_reading,
     place_by_running,
@@ -135,8 +135,8 @@
 def test_late_start_is_weighed_against_harm():
     long_prompt = prompt(tokens=8000, shared=0, start_ms=600)
     queued = engine('waits', prefill_tokens=20_000)
-    assert late_start(long_prompt, queued, 8000) == 1
-    assert late_start(prompt(), queued, 8000) == 0
+    assert late_start_probability(long_prompt, queued, 8000) == 1
+    assert late_start_probability(prompt(), queued, 8000) == 0
     tight = engine('tight', streams={300: 1})
     assert choose(long_prompt, queued, tight) == 'tight'
 
