--- a/wingfall/gateway/rules/placement/endpoint_choice.py
+++ b/wingfall/gateway/rules/placement/endpoint_choice.py
@@ -100,7 +100,7 @@
     return late_chance(start_ms, demand.start_target_ms)
 
 
-def read_cost(demand: Demand, candidate: Candidate) -> float:
+def prompt_cost(demand: Demand, candidate: Candidate) -> float:
     """Return the cost of running a prompt on an engine.
 
     :param demand: the request.
@@ -151,7 +151,7 @@
     :returns: the chosen endpoint.
     """
     if demand.is_prompt:
-        return min(candidates, key=lambda each: read_cost(demand, each))
+        return min(candidates, key=lambda each: prompt_cost(demand, each))
     return min(candidates, key=plain_cost)
 
 
