--- a/wingfall/gateway/rules/placement/endpoint_choice.py
+++ b/wingfall/gateway/rules/placement/endpoint_choice.py
@@ -125,7 +125,7 @@
     return cost
 
 
-def plain_cost(candidate: Candidate) -> float:
+def plain_request_cost(candidate: Candidate) -> float:
     """Return the cost of running a plain request on an endpoint.
 
     :param candidate: the endpoint.
@@ -152,7 +152,7 @@
     """
     if demand.is_prompt:
         return min(candidates, key=lambda each: prompt_cost(demand, each))
-    return min(candidates, key=plain_cost)
+    return min(candidates, key=plain_request_cost)
 
 
 @placements.register('least_running')
