--- a/tests/load_replay.py
+++ b/tests/load_replay.py
@@ -46,7 +46,7 @@
 from wingfall.gateway.rules.admission.held_calls import DeferredCalls
 from wingfall.gateway.rules.pacing.rate_share import share_among_few
 from wingfall.gateway.rules.placement.cache_transfer import copy_nothing
-from wingfall.gateway.rules.placement.endpoint_choice import place_by_reading
+from wingfall.gateway.rules.placement.endpoint_choice import place_by_cost
 from wingfall.gateway.rules.placement.engine_groups import engine_groups
 from wingfall.gateway.rules.placement.reserved_engines import ReservedEngines
 from wingfall.gateway.rules.placement.stream_backup import back_up_nothing
@@ -272,7 +272,7 @@
                 admission=admissions.find(
                     policies.get('admission', 'target')
                 ).unwrap(),
-                placement=place_by_reading,
+                placement=place_by_cost,
                 cache_transfer=copy_nothing,
                 stream_backup=back_up_nothing,
             ),
--- a/tests/test_call_rules.py
+++ b/tests/test_call_rules.py
@@ -31,7 +31,7 @@
     refuse_no_routes,
 )
 from wingfall.gateway.rules.placement.candidate import Candidate, Demand
-from wingfall.gateway.rules.placement.endpoint_choice import place_by_reading
+from wingfall.gateway.rules.placement.endpoint_choice import place_by_cost
 from wingfall.gateway.rules.placement.pool_choice import pick_pool
 from wingfall.gateway.rules.placement.shortlist import (
     count_drawn,
@@ -184,7 +184,7 @@
         routes=SimpleNamespace(pools={'p': SimpleNamespace(backs_up=backs_up)}),
         policies=SimpleNamespace(
             stream_backup=back_up_long_answers,
-            placement=place_by_reading,
+            placement=place_by_cost,
         ),
     )
     route = SimpleNamespace(streaming=streaming, resumable=resumable)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,7 +8,7 @@
 from wingfall.gateway.rules.placement.endpoint_choice import (
     late_start_probability,
     expected_late_streams,
-    place_by_reading,
+    place_by_cost,
     place_by_running,
 )
 
@@ -39,7 +39,7 @@
 
 def choose(demand: Demand, *candidates: Candidate) -> str:
     """Return the name of the chosen endpoint."""
-    return place_by_reading(demand, candidates).name
+    return place_by_cost(demand, candidates).name
 
 
 def test_prompt_goes_where_its_part_is_kept():
--- a/tools/slopes/gateway.py
+++ b/tools/slopes/gateway.py
@@ -16,7 +16,7 @@
 from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 from wingfall.gateway.model.prompt import Prompt, PromptPart
 from wingfall.gateway.rules.placement.candidate import Candidate, Demand
-from wingfall.gateway.rules.placement.endpoint_choice import place_by_reading
+from wingfall.gateway.rules.placement.endpoint_choice import place_by_cost
 from wingfall.wire.codec import FrameDecoder, encode
 from wingfall.wire.gateway_messages import GatewayHeartbeat
 
@@ -50,7 +50,7 @@
         ]
         demand = Demand(is_prompt=True, tokens=17_000, shared_tokens=13_000)
         cost = time_us(
-            lambda candidates=candidates: place_by_reading(demand, candidates),
+            lambda candidates=candidates: place_by_cost(demand, candidates),
             max(1, 2000 // count),
         )
         note(f'placement among {count} endpoints', cost, 'us')
@@ -127,7 +127,7 @@
     knowledge.table = table
     state = SimpleNamespace(
         knowledge=knowledge,
-        policies=SimpleNamespace(placement=place_by_reading),
+        policies=SimpleNamespace(placement=place_by_cost),
         routes=None,
         zone='a',
     )
--- a/wingfall/gateway/rules/placement/endpoint_choice.py
+++ b/wingfall/gateway/rules/placement/endpoint_choice.py
@@ -140,7 +140,7 @@
 
 
 @placements.register('least_read')
-def place_by_reading(
+def place_by_cost(
     demand: Demand,
     candidates: Sequence[Candidate],
 ) -> Candidate:
