--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -9,7 +9,7 @@
     late_start_probability,
     expected_late_streams,
     place_by_cost,
-    place_by_running,
+    place_by_running_requests,
 )
 
 
@@ -105,7 +105,7 @@
 
 def test_baseline_counts_only_what_runs():
     candidates = [engine('a', running=2), engine('b', running=1)]
-    assert place_by_running(prompt(), candidates).name == 'b'
+    assert place_by_running_requests(prompt(), candidates).name == 'b'
 
 
 def test_short_read_may_join_streams_of_short_pauses():
--- a/wingfall/gateway/rules/placement/endpoint_choice.py
+++ b/wingfall/gateway/rules/placement/endpoint_choice.py
@@ -156,7 +156,7 @@
 
 
 @placements.register('least_running')
-def place_by_running(
+def place_by_running_requests(
     demand: Demand,
     candidates: Sequence[Candidate],
 ) -> Candidate:
