--- a/tests/test_engine_priority.py
+++ b/tests/test_engine_priority.py
@@ -7,14 +7,14 @@
 import pytest
 
 from wingfall.gateway.rules.placement.engine_priority import (
-    PRIORITIES,
+    PRIORITY_LEVELS,
     engine_priority,
 )
 
-CUSTOMER_TIERS = (None, *range(PRIORITIES))
+CUSTOMER_TIERS = (None, *range(PRIORITY_LEVELS))
 
 
-@pytest.mark.parametrize('count', range(1, PRIORITIES + 1))
+@pytest.mark.parametrize('count', range(1, PRIORITY_LEVELS + 1))
 def test_more_urgent_route_goes_first_whoever_the_customers_are(count: int):
     tiers = range(count)
     for urgent, lesser in itertools.combinations(tiers, 2):
@@ -24,14 +24,14 @@
             )
 
 
-@pytest.mark.parametrize('count', range(1, PRIORITIES + 1))
+@pytest.mark.parametrize('count', range(1, PRIORITY_LEVELS + 1))
 def test_priorities_fit_what_engines_tell_apart(count: int):
     tiers = range(count)
     priorities = {
         engine_priority(tier, customer, tiers)
         for tier, customer in itertools.product(tiers, CUSTOMER_TIERS)
     }
-    assert priorities <= set(range(PRIORITIES))
+    assert priorities <= set(range(PRIORITY_LEVELS))
 
 
 def test_customers_are_ordered_among_prompts_of_one_tier():
@@ -46,4 +46,4 @@
 
 def test_more_tiers_than_engines_tell_apart_share_the_last():
     tiers = range(20)
-    assert engine_priority(19, None, tiers) == PRIORITIES - 1
+    assert engine_priority(19, None, tiers) == PRIORITY_LEVELS - 1
--- a/wingfall/gateway/rules/placement/engine_priority.py
+++ b/wingfall/gateway/rules/placement/engine_priority.py
@@ -17,7 +17,7 @@
 
 # Number of priorities that engines support, 0 the most urgent: the platform's
 # range.
-PRIORITIES: Final = 10
+PRIORITY_LEVELS: Final = 10
 # Engine priorities of each tier: for customers more urgent than the route's
 # tier, customers with the same tier or none, and less urgent customers.
 _LEVELS_PER_TIER: Final = 3
@@ -37,8 +37,8 @@
         leave too few priorities to rank customers.
     """
     rank = bisect.bisect_left(tiers, route_tier)
-    if len(tiers) * _LEVELS_PER_TIER > PRIORITIES:
-        return min(rank, PRIORITIES - 1)
+    if len(tiers) * _LEVELS_PER_TIER > PRIORITY_LEVELS:
+        return min(rank, PRIORITY_LEVELS - 1)
     return rank * _LEVELS_PER_TIER + _level_in_tier(route_tier, customer_tier)
 
 
