--- a/tests/test_shared_read.py
+++ b/tests/test_shared_read.py
@@ -9,7 +9,7 @@
 from wingfall.gateway.knowledge.prefix_cache import PendingRead
 from wingfall.gateway.rules.placement.shared_read import (
     read_at_once,
-    wait_for_read,
+    wait_for_prefill,
 )
 
 LEFT_MS = 10_000
@@ -32,7 +32,7 @@
     wait_ms: int,
 ):
     pending = PendingRead(tokens=tokens, ready_in_ms=ready_in_ms)
-    assert wait_for_read(pending, LEFT_MS) == wait_ms
+    assert wait_for_prefill(pending, LEFT_MS) == wait_ms
     assert read_at_once(pending, LEFT_MS) == 0
 
 
--- a/wingfall/gateway/rules/placement/shared_read.py
+++ b/wingfall/gateway/rules/placement/shared_read.py
@@ -28,7 +28,7 @@
 
 
 @shared_reads.register('wait')
-def wait_for_read(pending: PendingRead, left_ms: int) -> int:
+def wait_for_prefill(pending: PendingRead, left_ms: int) -> int:
     """Wait until the part is prefilled, if that is soon enough.
 
     :param pending: the parts being prefilled.
