--- a/tests/test_shared_read.py
+++ b/tests/test_shared_read.py
@@ -8,7 +8,7 @@
 from tests.local_site import wait_until
 from wingfall.gateway.knowledge.prefix_cache import PendingRead
 from wingfall.gateway.rules.placement.shared_read import (
-    read_at_once,
+    send_at_once,
     wait_for_prefill,
 )
 
@@ -33,7 +33,7 @@
 ):
     pending = PendingRead(tokens=tokens, ready_in_ms=ready_in_ms)
     assert wait_for_prefill(pending, LEFT_MS) == wait_ms
-    assert read_at_once(pending, LEFT_MS) == 0
+    assert send_at_once(pending, LEFT_MS) == 0
 
 
 def test_second_prompt_is_sent_once_the_first_has_begun(
--- a/wingfall/gateway/rules/placement/shared_read.py
+++ b/wingfall/gateway/rules/placement/shared_read.py
@@ -43,7 +43,7 @@
 
 
 @shared_reads.register('none')
-def read_at_once(pending: PendingRead, left_ms: int) -> int:
+def send_at_once(pending: PendingRead, left_ms: int) -> int:
     """Send at once, as the baseline.
 
     :param pending: the parts being prefilled, ignored.
