--- a/tests/test_call_rules.py
+++ b/tests/test_call_rules.py
@@ -34,7 +34,7 @@
 from wingfall.gateway.rules.placement.endpoint_choice import place_by_cost
 from wingfall.gateway.rules.placement.pool_choice import pick_pool
 from wingfall.gateway.rules.placement.shortlist import (
-    count_drawn,
+    choose_sample_size,
     prefer_sound,
     shorten,
 )
@@ -336,8 +336,8 @@
 
 
 def test_more_endpoints_are_drawn_for_what_is_short():
-    assert [count_drawn(each) for each in (0, 4096)] == [24, 24]
-    assert [count_drawn(each) for each in (4097, 17_000)] == [6, 6]
+    assert [choose_sample_size(each) for each in (0, 4096)] == [24, 24]
+    assert [choose_sample_size(each) for each in (4097, 17_000)] == [6, 6]
 
 
 @pytest.mark.parametrize('sample_size', [6, 24])
--- a/wingfall/gateway/calls/open_endpoints.py
+++ b/wingfall/gateway/calls/open_endpoints.py
@@ -11,7 +11,7 @@
 from wingfall.gateway.calls.engine_group import narrow_to_group
 from wingfall.gateway.rules.placement.candidate import Demand
 from wingfall.gateway.rules.placement.shortlist import (
-    count_drawn,
+    choose_sample_size,
     is_weighed_whole,
     list_sound,
     prefer_sound,
@@ -63,7 +63,7 @@
     is_withheld = _withheld_check(state, call, pool)
     usable = _list_group_endpoints(state, call, pool, avoided)
     prompt = call.head.prompt
-    sample_size = count_drawn(prompt.tokens if prompt else 0)
+    sample_size = choose_sample_size(prompt.tokens if prompt else 0)
     if not is_weighed_whole(usable, sample_size):
         caching = _list_caching(state, call, usable)
         available = list_sound(
--- a/wingfall/gateway/rules/placement/shortlist.py
+++ b/wingfall/gateway/rules/placement/shortlist.py
@@ -33,7 +33,7 @@
 _MAX_CACHE_HOLDERS: Final = 6
 
 
-def count_drawn(prompt_tokens: int) -> int:
+def choose_sample_size(prompt_tokens: int) -> int:
     """Return the sample size for a call in a large pool.
 
     :param prompt_tokens: length of the prompt, 0 without one.
