--- a/wingfall/gateway/calls/open_endpoints.py
+++ b/wingfall/gateway/calls/open_endpoints.py
@@ -12,7 +12,7 @@
 from wingfall.gateway.rules.placement.candidate import Demand
 from wingfall.gateway.rules.placement.shortlist import (
     choose_sample_size,
-    is_weighed_whole,
+    fits_shortlist,
     list_sound,
     prefer_sound,
     shorten,
@@ -64,7 +64,7 @@
     usable = _list_group_endpoints(state, call, pool, avoided)
     prompt = call.head.prompt
     sample_size = choose_sample_size(prompt.tokens if prompt else 0)
-    if not is_weighed_whole(usable, sample_size):
+    if not fits_shortlist(usable, sample_size):
         caching = _list_caching(state, call, usable)
         available = list_sound(
             shorten(usable, caching, sample_size),
--- a/wingfall/gateway/rules/placement/shortlist.py
+++ b/wingfall/gateway/rules/placement/shortlist.py
@@ -43,7 +43,7 @@
     return _LONG_SAMPLE_SIZE if is_long else _SHORT_SAMPLE_SIZE
 
 
-def is_weighed_whole(endpoints: list[PoolEndpoint], sample_size: int) -> bool:
+def fits_shortlist(endpoints: list[PoolEndpoint], sample_size: int) -> bool:
     """Check if all endpoints of a pool are considered.
 
     :param endpoints: endpoints of the pool that accept new work.
@@ -65,7 +65,7 @@
     :param sample_size: number of endpoints to draw.
     :returns: the endpoints to consider, all of a small pool.
     """
-    if is_weighed_whole(endpoints, sample_size):
+    if fits_shortlist(endpoints, sample_size):
         return endpoints
     chosen = random.sample(endpoints, sample_size)
     pool = endpoints[0].pool
