--- a/tests/test_call_rules.py
+++ b/tests/test_call_rules.py
@@ -36,7 +36,7 @@
 from wingfall.gateway.rules.placement.shortlist import (
     choose_sample_size,
     prefer_sound,
-    shorten,
+    make_shortlist,
 )
 from wingfall.gateway.rules.placement.stream_backup import back_up_long_answers
 from wingfall.gateway.rules.planned_stop import StopSchedule
@@ -168,7 +168,7 @@
     sample_size: int = 6,
 ) -> list[PoolEndpoint]:
     """Return the endpoints of a pool that are considered."""
-    return shorten(endpoints, caching, sample_size)
+    return make_shortlist(endpoints, caching, sample_size)
 
 
 def backup_name(
--- a/wingfall/gateway/calls/open_endpoints.py
+++ b/wingfall/gateway/calls/open_endpoints.py
@@ -15,7 +15,7 @@
     fits_shortlist,
     list_sound,
     prefer_sound,
-    shorten,
+    make_shortlist,
 )
 
 if TYPE_CHECKING:
@@ -67,7 +67,7 @@
     if not fits_shortlist(usable, sample_size):
         caching = _list_caching(state, call, usable)
         available = list_sound(
-            shorten(usable, caching, sample_size),
+            make_shortlist(usable, caching, sample_size),
             avoided,
             lambda name: is_ejected(name) or is_withheld(name),
         )
--- a/wingfall/gateway/rules/placement/shortlist.py
+++ b/wingfall/gateway/rules/placement/shortlist.py
@@ -53,7 +53,7 @@
     return len(endpoints) <= max(sample_size, _MAX_WHOLE_SIZE)
 
 
-def shorten(
+def make_shortlist(
     endpoints: list[PoolEndpoint],
     caching: list[PoolEndpoint],
     sample_size: int,
