--- a/tests/test_call_rules.py
+++ b/tests/test_call_rules.py
@@ -35,7 +35,7 @@
 from wingfall.gateway.rules.placement.pool_choice import pick_pool
 from wingfall.gateway.rules.placement.shortlist import (
     choose_sample_size,
-    prefer_sound,
+    prefer_available,
     make_shortlist,
 )
 from wingfall.gateway.rules.placement.stream_backup import back_up_long_answers
@@ -158,7 +158,7 @@
 def available_names(tried: set[str], excluded: set[str]) -> list[str]:
     """Return which of three endpoints a call may be sent to."""
     endpoints = [make_endpoint(name) for name in 'abc']
-    available = prefer_sound(endpoints, tried, excluded.__contains__)
+    available = prefer_available(endpoints, tried, excluded.__contains__)
     return [each.name for each in available]
 
 
--- a/wingfall/gateway/calls/open_endpoints.py
+++ b/wingfall/gateway/calls/open_endpoints.py
@@ -14,7 +14,7 @@
     choose_sample_size,
     fits_shortlist,
     list_sound,
-    prefer_sound,
+    prefer_available,
     make_shortlist,
 )
 
@@ -74,7 +74,7 @@
         if available:
             return available
     accepting = [each for each in usable if not is_withheld(each.name)]
-    return prefer_sound(accepting, avoided, is_ejected)
+    return prefer_available(accepting, avoided, is_ejected)
 
 
 def list_open(state: GatewayState, call: Call, pool: str) -> list[PoolEndpoint]:
--- a/wingfall/gateway/rules/placement/shortlist.py
+++ b/wingfall/gateway/rules/placement/shortlist.py
@@ -77,7 +77,7 @@
     return list({each.name: each for each in (*holders, *chosen)}.values())
 
 
-def prefer_sound(
+def prefer_available(
     endpoints: list[PoolEndpoint],
     tried: Collection[str],
     is_excluded: Callable[[str], bool],
