--- a/wingfall/gateway/calls/open_endpoints.py
+++ b/wingfall/gateway/calls/open_endpoints.py
@@ -13,7 +13,7 @@
 from wingfall.gateway.rules.placement.shortlist import (
     choose_sample_size,
     fits_shortlist,
-    list_sound,
+    list_available,
     prefer_available,
     make_shortlist,
 )
@@ -66,7 +66,7 @@
     sample_size = choose_sample_size(prompt.tokens if prompt else 0)
     if not fits_shortlist(usable, sample_size):
         caching = _list_caching(state, call, usable)
-        available = list_sound(
+        available = list_available(
             make_shortlist(usable, caching, sample_size),
             avoided,
             lambda name: is_ejected(name) or is_withheld(name),
@@ -87,7 +87,7 @@
     """
     is_ejected = state.knowledge.health.is_out
     is_withheld = _withheld_check(state, call, pool)
-    return list_sound(
+    return list_available(
         _list_group_endpoints(state, call, pool, set()),
         (),
         lambda name: is_ejected(name) or is_withheld(name),
--- a/wingfall/gateway/rules/placement/shortlist.py
+++ b/wingfall/gateway/rules/placement/shortlist.py
@@ -89,11 +89,11 @@
     :param is_excluded: whether an endpoint is excluded for a while.
     :returns: untried endpoints, without excluded ones if possible.
     """
-    available = list_sound(endpoints, tried, is_excluded)
+    available = list_available(endpoints, tried, is_excluded)
     return available or [each for each in endpoints if each.name not in tried]
 
 
-def list_sound(
+def list_available(
     endpoints: list[PoolEndpoint],
     tried: Collection[str],
     is_excluded: Callable[[str], bool],
