--- a/wingfall/gateway/calls/destination.py
+++ b/wingfall/gateway/calls/destination.py
@@ -239,7 +239,7 @@
         candidates,
         demand,
         resumable=call.route.resumable,
-        is_worth_it=state.policies.stream_backup,
+        should_back_up=state.policies.stream_backup,
         place=state.policies.placement,
     )
 
--- a/wingfall/gateway/rules/placement/stream_backup.py
+++ b/wingfall/gateway/rules/placement/stream_backup.py
@@ -71,7 +71,7 @@
     demand: Demand,
     *,
     resumable: bool,
-    is_worth_it: StreamBackup,
+    should_back_up: StreamBackup,
     place: Placement,
 ) -> Candidate | None:
     """Choose the engine that holds the backup of a stream.
@@ -79,7 +79,7 @@
     :param candidates: all engines except the engine that runs the stream.
     :param demand: requirements of the stream.
     :param resumable: whether another engine can resume without a backup.
-    :param is_worth_it: the configured policy, which decides on the backup.
+    :param should_back_up: the configured policy, which decides on the backup.
     :param place: rule that chooses among engines.
     :returns: the backup engine, None for no backup.
     """
@@ -88,6 +88,6 @@
         prompt_tokens=demand.tokens,
         output_tokens=demand.output_tokens,
     )
-    if not healthy or not is_worth_it(length, resumable):
+    if not healthy or not should_back_up(length, resumable):
         return None
     return place(demand, healthy)
