--- a/wingfall/gateway/calls/admission.py
+++ b/wingfall/gateway/calls/admission.py
@@ -16,7 +16,7 @@
 )
 from wingfall.gateway.knowledge.customer_work import Work, prompt_work
 from wingfall.gateway.rules.admission.early_refusal import (
-    MOST_OVER_SHARE,
+    MAX_RELATIVE_USE,
     admissions,
     start_margin,
     tell_reason,
@@ -98,7 +98,7 @@
         estimate_start, state, call, margin=start_margin(error)
     )
     # A start in time for customers far above their shares is so for all.
-    if _is_in_time(state, estimate(chosen, MOST_OVER_SHARE)):
+    if _is_in_time(state, estimate(chosen, MAX_RELATIVE_USE)):
         return Success(chosen)
     relative_use = state.fair_shares.find(pool).relative_use(call.customer_name)
     if _is_in_time(state, estimate(chosen, relative_use)):
--- a/wingfall/gateway/rules/admission/early_refusal.py
+++ b/wingfall/gateway/rules/admission/early_refusal.py
@@ -26,7 +26,7 @@
 # Relative use of a customer from which on its prompts have the shortest bound,
 # the bound of their tier divided by this number. As a queue grows, they are
 # refused long before it is too long for customers within their shares.
-MOST_OVER_SHARE: Final = 4
+MAX_RELATIVE_USE: Final = 4
 # Milliseconds of work that an engine has queued before a prompt is refused for
 # its customer's share. Gateways receive the end of a prefill a tenth of a
 # second late, so an engine with less work would become idle while prompts are
@@ -254,4 +254,4 @@
 
 
 def _bounded_relative_use(estimate: StartEstimate) -> float:
-    return min(MOST_OVER_SHARE, max(1, estimate.use))
+    return min(MAX_RELATIVE_USE, max(1, estimate.use))
