--- a/tests/test_fair_admission.py
+++ b/tests/test_fair_admission.py
@@ -69,15 +69,15 @@
 
 
 def test_customer_above_its_share_is_served_while_engines_run_out_of_work():
-    assert is_admitted(700, use=10, alone_ms=650)
-    assert not is_admitted(800, use=10, alone_ms=650)
+    assert is_admitted(700, use=10, empty_queue_start_ms=650)
+    assert not is_admitted(800, use=10, empty_queue_start_ms=650)
     # The bound for all customers still applies.
-    assert not is_admitted(TARGET_MS + 10, use=10, alone_ms=TARGET_MS)
+    assert not is_admitted(TARGET_MS + 10, use=10, empty_queue_start_ms=TARGET_MS)
 
 
 def test_prompt_is_not_refused_for_its_own_length():
-    assert is_admitted(5000, use=10, alone_ms=5000)
-    assert not is_admitted(5001, alone_ms=5000)
+    assert is_admitted(5000, use=10, empty_queue_start_ms=5000)
+    assert not is_admitted(5001, empty_queue_start_ms=5000)
 
 
 def test_no_tier_is_behind_a_lower_one():
--- a/wingfall/gateway/calls/pool_room.py
+++ b/wingfall/gateway/calls/pool_room.py
@@ -92,7 +92,7 @@
         left_ms=call.deadline_ms - state.clock.now_ms(),
         urgent=call.route.tier <= tiers[0],
         lowest=call.route.tier >= tiers[-1],
-        alone_ms=expected_ms(speed.prefill_ms(destination.load.prefill_tokens)),
+        empty_queue_start_ms=expected_ms(speed.prefill_ms(destination.load.prefill_tokens)),
         stream_ms=_stream_ms(state, call, destination),
         use=relative_use,
         margin=margin,
--- a/wingfall/gateway/rules/admission/early_refusal.py
+++ b/wingfall/gateway/rules/admission/early_refusal.py
@@ -42,7 +42,7 @@
     """Estimated start of a prompt at an engine, with its target and limits."""
 
     __slots__ = (
-        'alone_ms',
+        'empty_queue_start_ms',
         'left_ms',
         'lowest',
         'margin',
@@ -61,7 +61,7 @@
         left_ms: int,
         urgent: bool,
         lowest: bool = True,
-        alone_ms: float = 0,
+        empty_queue_start_ms: float = 0,
         stream_ms: float = 0,
         use: float = 1,
         margin: float = 1,
@@ -73,7 +73,7 @@
         :param left_ms: milliseconds that the caller still waits.
         :param urgent: whether its tier is the most urgent of the pool.
         :param lowest: whether its tier is the least urgent of the pool.
-        :param alone_ms: milliseconds until the answer begins
+        :param empty_queue_start_ms: milliseconds until the answer begins
             at an engine with an empty queue.
         :param stream_ms: milliseconds from the start to the end of the answer.
         :param use: relative use, the use of its customer as a multiple of the
@@ -86,7 +86,7 @@
         self.left_ms = left_ms
         self.urgent = urgent
         self.lowest = lowest
-        self.alone_ms = alone_ms
+        self.empty_queue_start_ms = empty_queue_start_ms
         self.stream_ms = stream_ms
         self.use = use
         self.margin = margin
@@ -207,10 +207,10 @@
         # No prompt is refused in favor of a lower tier, whatever its customer.
         bound_ms = max(bound_ms, estimate.target_ms / estimate.margin)
     bound_ms = max(
-        bound_ms, min(tier_bound_ms, estimate.alone_ms + _MIN_QUEUED_WORK_MS)
+        bound_ms, min(tier_bound_ms, estimate.empty_queue_start_ms + _MIN_QUEUED_WORK_MS)
     )
     # A prompt that nothing is queued before starts no sooner when retried.
-    return max(bound_ms, estimate.alone_ms)
+    return max(bound_ms, estimate.empty_queue_start_ms)
 
 
 def tell_reason(estimate: StartEstimate) -> str:
