--- a/wingfall/gateway/calls/admission.py
+++ b/wingfall/gateway/calls/admission.py
@@ -53,7 +53,7 @@
     if call.head.prompt is None or state.routes is None:
         return Success(destination)
     admission = _choose_admission(state, pool)
-    if admission.weighs_pool:
+    if admission.is_pool_wide:
         _record_requested_work(state, call, destination)
         return _admit_pool_wide(state, call, pool, destination)
     estimate = estimate_start(state, call, destination)
@@ -74,7 +74,7 @@
     :param destination: the destination that the call is sent to.
     """
     pool = destination.endpoint.pool
-    if _choose_admission(state, pool).weighs_pool:
+    if _choose_admission(state, pool).is_pool_wide:
         given = Work(given=_call_work(call, destination))
         state.knowledge.customer_work.note(pool, call.customer_name, given)
 
@@ -82,7 +82,7 @@
 def _choose_admission(state: GatewayState, pool: str) -> Admission:
     # A small pool has hardly any other engine to search.
     chosen = state.policies.admission
-    if chosen.weighs_pool and not state.knowledge.judges_together(pool):
+    if chosen.is_pool_wide and not state.knowledge.judges_together(pool):
         return admissions.find('target').unwrap()
     return chosen
 
--- a/wingfall/gateway/rules/admission/early_refusal.py
+++ b/wingfall/gateway/rules/admission/early_refusal.py
@@ -99,17 +99,17 @@
 class Admission:
     """An admission rule for prompts, with the inputs that it needs."""
 
-    __slots__ = ('_check', 'weighs_pool')
+    __slots__ = ('_check', 'is_pool_wide')
 
-    def __init__(self, *, check: AdmissionCheck, weighs_pool: bool) -> None:
+    def __init__(self, *, check: AdmissionCheck, is_pool_wide: bool) -> None:
         """Initialize the rule.
 
         :param check: admits a prompt at one engine or refuses it there.
-        :param weighs_pool: whether the rule checks each engine of the pool
+        :param is_pool_wide: whether the rule checks each engine of the pool
             before it refuses a prompt, and needs the relative use of customers.
         """
         self._check = check
-        self.weighs_pool = weighs_pool
+        self.is_pool_wide = is_pool_wide
 
     def __call__(self, estimate: StartEstimate) -> Result[None, int]:
         """Admit a prompt at one engine or refuse it there.
@@ -126,17 +126,17 @@
 def register_admission(
     name: str,
     *,
-    weighs_pool: bool = False,
+    is_pool_wide: bool = False,
 ) -> Callable[[AdmissionCheck], AdmissionCheck]:
     """Register the decorated function as an admission rule.
 
     :param name: name of the rule in the settings.
-    :param weighs_pool: see :class:`Admission`.
+    :param is_pool_wide: see :class:`Admission`.
     :returns: a decorator that returns its argument.
     """
 
     def decorate(check: AdmissionCheck) -> AdmissionCheck:
-        admission = Admission(check=check, weighs_pool=weighs_pool)
+        admission = Admission(check=check, is_pool_wide=is_pool_wide)
         admissions.register(name)(admission)
         return check
 
@@ -174,7 +174,7 @@
     return estimate.target_ms
 
 
-@register_admission('fair', weighs_pool=True)
+@register_admission('fair', is_pool_wide=True)
 def admit_fairly(estimate: StartEstimate) -> Result[None, int]:
     """Refuse a prompt that would end too late or exceed its fair bound.
 
