--- a/tests/test_fair_admission.py
+++ b/tests/test_fair_admission.py
@@ -24,7 +24,7 @@
     admit_fairly,
     fair_bound_ms,
     start_margin,
-    tell_reason,
+    refusal_reason,
 )
 from wingfall.gateway.rules.admission.retry_after import spread_ms
 
@@ -112,9 +112,9 @@
 
 
 def test_reasons():
-    assert tell_reason(make_estimate(TARGET_MS + 1, use=2)) == 'no_room'
-    assert tell_reason(make_estimate(TARGET_MS, use=2)) == 'over_share'
-    assert tell_reason(make_estimate(500, stream_ms=9000)) == 'ends_late'
+    assert refusal_reason(make_estimate(TARGET_MS + 1, use=2)) == 'no_room'
+    assert refusal_reason(make_estimate(TARGET_MS, use=2)) == 'over_share'
+    assert refusal_reason(make_estimate(500, stream_ms=9000)) == 'ends_late'
 
 
 def test_caller_may_come_back_when_half_of_the_target_is_left_to_read():
--- a/wingfall/gateway/calls/admission.py
+++ b/wingfall/gateway/calls/admission.py
@@ -19,7 +19,7 @@
     MAX_RELATIVE_USE,
     admissions,
     start_margin,
-    tell_reason,
+    refusal_reason,
 )
 from wingfall.gateway.rules.admission.refusals import refuse_early
 from wingfall.gateway.rules.admission.retry_after import spread_ms
@@ -134,7 +134,7 @@
     capacity: PoolRoom,
 ) -> Refusal:
     pool = capacity.earliest.endpoint.pool
-    reason = tell_reason(estimate)
+    reason = refusal_reason(estimate)
     _count_decision(state, reason)
     shares = state.fair_shares.find(pool)
     _log_refusal(
--- a/wingfall/gateway/rules/admission/early_refusal.py
+++ b/wingfall/gateway/rules/admission/early_refusal.py
@@ -213,7 +213,7 @@
     return max(bound_ms, estimate.empty_queue_start_ms)
 
 
-def tell_reason(estimate: StartEstimate) -> str:
+def refusal_reason(estimate: StartEstimate) -> str:
     """Return why :func:`admit_fairly` refuses a prompt.
 
     :param estimate: estimate for the engine where the prompt starts earliest.
