--- a/wingfall/gateway/calls/admission.py
+++ b/wingfall/gateway/calls/admission.py
@@ -145,7 +145,7 @@
         reason=reason,
         use=round(estimate.use, 2),
         margin=round(estimate.margin, 2),
-        share_age_ms=state.clock.now_ms() - shares.worked_out_ms,
+        share_age_ms=state.clock.now_ms() - shares.computed_ms,
         estimate_age_ms=state.knowledge.first_event_age_ms(pool),
         engines=capacity.engine_count,
     )
--- a/wingfall/gateway/rules/admission/fair_shares.py
+++ b/wingfall/gateway/rules/admission/fair_shares.py
@@ -80,7 +80,7 @@
 class PoolShares:
     """Relative use of the customers of one pool, computed at one time."""
 
-    __slots__ = ('_relative_uses', 'worked_out_ms')
+    __slots__ = ('_relative_uses', 'computed_ms')
 
     def __init__(
         self, *, work: dict[str, Work], pending_tokens: float, now_ms: int
@@ -91,7 +91,7 @@
         :param pending_tokens: pending tokens at its engines.
         :param now_ms: the current time in milliseconds.
         """
-        self.worked_out_ms = now_ms
+        self.computed_ms = now_ms
         given = sum(each.given for each in work.values())
         share = fair_share(
             (each.asked for each in work.values()),
@@ -138,7 +138,7 @@
         shares = self._pools.get(pool)
         if (
             shares is None
-            or now_ms - shares.worked_out_ms >= _SHARES_MAX_AGE_MS
+            or now_ms - shares.computed_ms >= _SHARES_MAX_AGE_MS
         ):
             work = self._knowledge.customer_work
             shares = PoolShares(
