--- a/tests/test_held_calls.py
+++ b/tests/test_held_calls.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from wingfall.gateway.rules.admission.held_calls import DeferredCalls, AdmissionSlots
+from wingfall.gateway.rules.admission.deferred_calls import DeferredCalls, AdmissionSlots
 
 POOL = 'engines'
 SLOTS = AdmissionSlots(first_ms=300, interval_ms=500)
--- a/wingfall/gateway/calls/held_pool.py
+++ b/wingfall/gateway/calls/held_pool.py
@@ -9,7 +9,7 @@
 from wingfall.gateway.calls.attempt_outcome import AttemptOutcome
 from wingfall.gateway.model.attempt_end import AttemptEnd
 from wingfall.gateway.model.held import Held
-from wingfall.gateway.rules.admission.held_calls import AdmissionSlots
+from wingfall.gateway.rules.admission.deferred_calls import AdmissionSlots
 from wingfall.gateway.rules.admission.refusals import refuse_held
 from wingfall.log import log_event
 
@@ -37,7 +37,7 @@
     slots = _describe_slots(state, withheld)
     reasons = {name: state.gate.why_held(name) for name in withheld}
     now_ms = state.clock.now_ms()
-    retry_ms = state.held_calls.defer(pool, call.priority, slots, now_ms)
+    retry_ms = state.deferred_calls.defer(pool, call.priority, slots, now_ms)
     log_event(
         'held',
         'No endpoint of the pool takes a call now.',
--- a/wingfall/gateway/calls/open_endpoints.py
+++ b/wingfall/gateway/calls/open_endpoints.py
@@ -117,7 +117,7 @@
     call: Call,
     pool: str,
 ) -> Callable[[str], bool]:
-    must_yield = state.held_calls.must_yield(
+    must_yield = state.deferred_calls.must_yield(
         pool,
         call.priority,
         state.clock.now_ms(),
--- a/wingfall/gateway/state.py
+++ b/wingfall/gateway/state.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, final
 
 from wingfall.gateway.rules.admission.fair_shares import FairShares
-from wingfall.gateway.rules.admission.held_calls import DeferredCalls
+from wingfall.gateway.rules.admission.deferred_calls import DeferredCalls
 from wingfall.gateway.rules.placement.reserved_engines import ReservedEngines
 
 if TYPE_CHECKING:
@@ -40,7 +40,7 @@
         'draining',
         'fair_shares',
         'gate',
-        'held_calls',
+        'deferred_calls',
         'reserved_engines',
         'knowledge',
         'metrics',
@@ -91,7 +91,7 @@
         self.crash_watch = crash_watch
         self.gate = gate
         # What callers were told when no endpoint of their pool took a request.
-        self.held_calls = DeferredCalls()
+        self.deferred_calls = DeferredCalls()
         # How far customers are above their shares of pools.
         self.fair_shares = FairShares(clock=clock, knowledge=knowledge)
         # Engines that are kept for streams with short gaps.
