--- a/wingfall/gateway/calls/held_pool.py
+++ b/wingfall/gateway/calls/held_pool.py
@@ -10,7 +10,7 @@
 from wingfall.gateway.model.attempt_end import AttemptEnd
 from wingfall.gateway.model.held import Held
 from wingfall.gateway.rules.admission.deferred_calls import AdmissionSlots
-from wingfall.gateway.rules.admission.refusals import refuse_held
+from wingfall.gateway.rules.admission.refusals import refuse_withheld
 from wingfall.log import log_event
 
 if TYPE_CHECKING:
@@ -53,7 +53,7 @@
         gateways=len(state.gate.gateways),
     )
     resting = set(reasons.values()) == {Held.resting}
-    return refuse_held(retry_ms, resting=resting)
+    return refuse_withheld(retry_ms, resting=resting)
 
 
 def hold_attempt(
--- a/wingfall/gateway/rules/admission/refusals.py
+++ b/wingfall/gateway/rules/admission/refusals.py
@@ -70,7 +70,7 @@
     )
 
 
-def refuse_held(retry_after_ms: int, *, resting: bool) -> Refusal:
+def refuse_withheld(retry_after_ms: int, *, resting: bool) -> Refusal:
     """Return the refusal of a call whose endpoints are all withheld.
 
     :param retry_after_ms: milliseconds after which the caller may retry.
