--- a/tests/test_fair_admission.py
+++ b/tests/test_fair_admission.py
@@ -26,7 +26,7 @@
     start_margin,
     refusal_reason,
 )
-from wingfall.gateway.rules.admission.retry_after import spread_ms
+from wingfall.gateway.rules.admission.retry_after import jittered_ms
 
 TARGET_MS = 1200
 # Prefill rate of an engine without samples, in tokens per millisecond.
@@ -128,14 +128,14 @@
 
 
 def test_callers_that_are_told_together_come_back_apart():
-    delays_ms = [spread_ms(1000, 8000, draw / 10) for draw in range(11)]
+    delays_ms = [jittered_ms(1000, 8000, draw / 10) for draw in range(11)]
     assert delays_ms[0] == 1000
     assert delays_ms[-1] == 1200
     assert len(set(delays_ms)) == 11
 
 
 def test_nobody_is_told_to_come_back_after_the_time_is_over():
-    delays_ms = [spread_ms(5000, 3000, draw) for draw in (0, 0.5, 1)]
+    delays_ms = [jittered_ms(5000, 3000, draw) for draw in (0, 0.5, 1)]
     assert len(set(delays_ms)) == 3
     assert max(delays_ms) <= 3000
 
--- a/wingfall/gateway/calls/admission.py
+++ b/wingfall/gateway/calls/admission.py
@@ -22,7 +22,7 @@
     refusal_reason,
 )
 from wingfall.gateway.rules.admission.refusals import refuse_early
-from wingfall.gateway.rules.admission.retry_after import spread_ms
+from wingfall.gateway.rules.admission.retry_after import jittered_ms
 from wingfall.log import log_event
 
 if TYPE_CHECKING:
@@ -151,7 +151,7 @@
     )
     retry_ms = state.policies.admission(estimate).swap().value_or(0)
     draw = random.random()  # noqa: S311
-    return refuse_early(spread_ms(retry_ms, estimate.left_ms, draw))
+    return refuse_early(jittered_ms(retry_ms, estimate.left_ms, draw))
 
 
 def _record_requested_work(
--- a/wingfall/gateway/rules/admission/retry_after.py
+++ b/wingfall/gateway/rules/admission/retry_after.py
@@ -41,7 +41,7 @@
     return int(max(_MIN_QUEUE_RETRY_MS, min(excess_ms, left_ms)))
 
 
-def spread_ms(retry_ms: int, left_ms: int, draw: float) -> int:
+def jittered_ms(retry_ms: int, left_ms: int, draw: float) -> int:
     """Add jitter to a retry delay.
 
     :param retry_ms: milliseconds until the queue is short enough.
