--- a/wingfall/gateway/calls/dispatcher.py
+++ b/wingfall/gateway/calls/dispatcher.py
@@ -36,7 +36,7 @@
 from wingfall.gateway.rules.placement.pool_choice import pick_pool
 from wingfall.gateway.rules.retries.attempt_time import (
     AttemptOutlook,
-    first_byte_wait_ms,
+    first_byte_timeout_ms,
     is_time_over,
 )
 from wingfall.gateway.rules.retries.retry import (
@@ -225,7 +225,7 @@
         )
         return AttemptLimits(
             deadline_ms=call.deadline_ms,
-            first_byte_ms=now_ms + first_byte_wait_ms(outlook),
+            first_byte_ms=now_ms + first_byte_timeout_ms(outlook),
         )
 
     def _send_answer(self, outcome: AttemptOutcome) -> None:
--- a/wingfall/gateway/rules/retries/attempt_time.py
+++ b/wingfall/gateway/rules/retries/attempt_time.py
@@ -58,7 +58,7 @@
     return left_ms < _MIN_ATTEMPT_MS
 
 
-def first_byte_wait_ms(attempt: AttemptOutlook) -> int:
+def first_byte_timeout_ms(attempt: AttemptOutlook) -> int:
     """Return the timeout for the first byte of an answer.
 
     :param attempt: the attempt.
