--- a/wingfall/gateway/calls/dispatcher.py
+++ b/wingfall/gateway/calls/dispatcher.py
@@ -35,7 +35,7 @@
 )
 from wingfall.gateway.rules.placement.pool_choice import pick_pool
 from wingfall.gateway.rules.retries.attempt_time import (
-    AttemptOutlook,
+    PlannedAttempt,
     first_byte_timeout_ms,
     is_time_over,
 )
@@ -217,7 +217,7 @@
     def _limits(self, destination: Destination) -> AttemptLimits:
         call, now_ms = self._call, self._state.clock.now_ms()
         number = len(self._progress.sent) + 1
-        outlook = AttemptOutlook(
+        outlook = PlannedAttempt(
             left_ms=call.deadline_ms - now_ms,
             target_ms=call.route.target_ms,
             start_ms=destination.start_ms,
--- a/wingfall/gateway/rules/retries/attempt_time.py
+++ b/wingfall/gateway/rules/retries/attempt_time.py
@@ -23,7 +23,7 @@
 
 
 @final
-class AttemptOutlook:
+class PlannedAttempt:
     """Properties of an attempt that are known before it begins."""
 
     __slots__ = ('is_last', 'left_ms', 'start_ms', 'target_ms')
@@ -58,7 +58,7 @@
     return left_ms < _MIN_ATTEMPT_MS
 
 
-def first_byte_timeout_ms(attempt: AttemptOutlook) -> int:
+def first_byte_timeout_ms(attempt: PlannedAttempt) -> int:
     """Return the timeout for the first byte of an answer.
 
     :param attempt: the attempt.
