--- a/tests/load_replay.py
+++ b/tests/load_replay.py
@@ -53,7 +53,7 @@
 from wingfall.gateway.rules.retries.retry import (
     CallProgress,
     RetryTerms,
-    RetryVerdict,
+    RetryDecision,
     judge_retry,
 )
 from wingfall.metrics import Metrics
@@ -460,7 +460,7 @@
         call.gateway.knowledge.health.note_unreachable(name)
         terms = RetryTerms(idempotent=True, max_attempts=2, is_resumable=True)
         verdict = judge_retry(AttemptEnd.not_sent, call.progress, terms)
-        if verdict is RetryVerdict.free:
+        if verdict is RetryDecision.free:
             self._place(call)
         else:
             self._end(call, 'no_endpoint')
--- a/tests/test_call_rules.py
+++ b/tests/test_call_rules.py
@@ -43,7 +43,7 @@
 from wingfall.gateway.rules.retries.retry import (
     CallProgress,
     RetryTerms,
-    RetryVerdict,
+    RetryDecision,
     judge_retry,
 )
 
@@ -321,11 +321,11 @@
     assert not progress.may_have_run
     terms = RetryTerms(idempotent=False, max_attempts=1, is_resumable=True)
     verdict = judge_retry(AttemptEnd.held, progress, terms)
-    assert verdict is RetryVerdict.free
+    assert verdict is RetryDecision.free
     # No retry once another endpoint may have run the call.
     progress.note('a', AttemptEnd.lost)
     verdict = judge_retry(AttemptEnd.held, progress, terms)
-    assert verdict is RetryVerdict.never
+    assert verdict is RetryDecision.never
 
 
 def test_small_pool_is_weighed_whole():
--- a/wingfall/gateway/calls/dispatcher.py
+++ b/wingfall/gateway/calls/dispatcher.py
@@ -42,7 +42,7 @@
 from wingfall.gateway.rules.retries.retry import (
     CallProgress,
     RetryTerms,
-    RetryVerdict,
+    RetryDecision,
     judge_retry,
 )
 
@@ -263,9 +263,9 @@
             is_resumable=not reply.started or reply.last_event_id is not None,
         )
         verdict = judge_retry(end, self._progress, terms)
-        if verdict is RetryVerdict.from_budget:
+        if verdict is RetryDecision.from_budget:
             return self._state.budget.take(self._pool)
-        return verdict is RetryVerdict.free
+        return verdict is RetryDecision.free
 
     def _end_failed_call(self, end: AttemptEnd) -> Refusal | None:
         if self._reply.started:
--- a/wingfall/gateway/rules/retries/retry.py
+++ b/wingfall/gateway/rules/retries/retry.py
@@ -22,7 +22,7 @@
 _UNSENT_ENDS: Final = frozenset((AttemptEnd.not_sent, AttemptEnd.held))
 
 
-class RetryVerdict(enum.Enum):
+class RetryDecision(enum.Enum):
     """Decision whether a call may be sent again."""
 
     never = 'never'
@@ -91,7 +91,7 @@
     end: AttemptEnd,
     progress: CallProgress,
     terms: RetryTerms,
-) -> RetryVerdict:
+) -> RetryDecision:
     """Decide whether a call may be sent again.
 
     :param end: how the last attempt ended.
@@ -102,13 +102,13 @@
     # Checked first: an earlier endpoint may have run the call even if the last
     # one could not be reached.
     if progress.may_have_run and not terms.idempotent:
-        return RetryVerdict.never
+        return RetryDecision.never
     if end is AttemptEnd.held:
         # The call is not sent there again before the endpoint takes requests.
-        return RetryVerdict.free
+        return RetryDecision.free
     if end is AttemptEnd.not_sent:
         may_try_others = len(progress.unreached) < _MAX_UNREACHED_ENDPOINTS
-        return RetryVerdict.free if may_try_others else RetryVerdict.never
+        return RetryDecision.free if may_try_others else RetryDecision.never
     if len(progress.sent) >= terms.max_attempts or not terms.is_resumable:
-        return RetryVerdict.never
-    return RetryVerdict.from_budget
+        return RetryDecision.never
+    return RetryDecision.from_budget
