--- a/tests/load_replay.py
+++ b/tests/load_replay.py
@@ -54,7 +54,7 @@
     CallProgress,
     RetryTerms,
     RetryDecision,
-    judge_retry,
+    decide_retry,
 )
 from wingfall.metrics import Metrics
 from wingfall.objects.request_class import Target
@@ -459,7 +459,7 @@
         call.progress.note(name, AttemptEnd.not_sent)
         call.gateway.knowledge.health.note_unreachable(name)
         terms = RetryTerms(idempotent=True, max_attempts=2, is_resumable=True)
-        verdict = judge_retry(AttemptEnd.not_sent, call.progress, terms)
+        verdict = decide_retry(AttemptEnd.not_sent, call.progress, terms)
         if verdict is RetryDecision.free:
             self._place(call)
         else:
--- a/tests/test_call_rules.py
+++ b/tests/test_call_rules.py
@@ -44,7 +44,7 @@
     CallProgress,
     RetryTerms,
     RetryDecision,
-    judge_retry,
+    decide_retry,
 )
 
 RECORD = pathlib.Path(__file__).parent / 'golden' / 'call_rules.json'
@@ -320,11 +320,11 @@
     assert not progress.unreached
     assert not progress.may_have_run
     terms = RetryTerms(idempotent=False, max_attempts=1, is_resumable=True)
-    verdict = judge_retry(AttemptEnd.held, progress, terms)
+    verdict = decide_retry(AttemptEnd.held, progress, terms)
     assert verdict is RetryDecision.free
     # No retry once another endpoint may have run the call.
     progress.note('a', AttemptEnd.lost)
-    verdict = judge_retry(AttemptEnd.held, progress, terms)
+    verdict = decide_retry(AttemptEnd.held, progress, terms)
     assert verdict is RetryDecision.never
 
 
--- a/wingfall/gateway/calls/dispatcher.py
+++ b/wingfall/gateway/calls/dispatcher.py
@@ -43,7 +43,7 @@
     CallProgress,
     RetryTerms,
     RetryDecision,
-    judge_retry,
+    decide_retry,
 )
 
 if TYPE_CHECKING:
@@ -262,7 +262,7 @@
             max_attempts=self._call.route.max_attempts,
             is_resumable=not reply.started or reply.last_event_id is not None,
         )
-        verdict = judge_retry(end, self._progress, terms)
+        verdict = decide_retry(end, self._progress, terms)
         if verdict is RetryDecision.from_budget:
             return self._state.budget.take(self._pool)
         return verdict is RetryDecision.free
--- a/wingfall/gateway/rules/retries/retry.py
+++ b/wingfall/gateway/rules/retries/retry.py
@@ -87,7 +87,7 @@
         self.is_resumable = is_resumable
 
 
-def judge_retry(
+def decide_retry(
     end: AttemptEnd,
     progress: CallProgress,
     terms: RetryTerms,
