--- a/tests/test_gateway_retry_budget.py
+++ b/tests/test_gateway_retry_budget.py
@@ -37,7 +37,7 @@
 
 def test_routers_share_the_slack(clock: ManualClock):
     budget = make_budget(clock)
-    budget.share_among(5)
+    budget.set_gateway_count(5)
     assert count_allowed(budget) == 2
 
 
--- a/wingfall/gateway/peers/shared_bounds.py
+++ b/wingfall/gateway/peers/shared_bounds.py
@@ -52,7 +52,7 @@
         """
         count = max(len(sessions), known) + 1
         self._blocks.set_peers(sessions)
-        self._budget.share_among(count)
+        self._budget.set_gateway_count(count)
         self._gate.note_gateways(
             connected=sessions,
             stopping=[each.name for each in sessions.values() if each.leaving],
--- a/wingfall/gateway/rules/retries/retry_budget.py
+++ b/wingfall/gateway/rules/retries/retry_budget.py
@@ -66,7 +66,7 @@
         self._slack = slack
         self._window_ms = window_ms
 
-    def share_among(self, gateways: int) -> None:
+    def set_gateway_count(self, gateways: int) -> None:
         """Set the number of gateways that share the slack.
 
         :param gateways: number of gateways, including this one.
