--- a/wingfall/gateway/rules/crashes/crash_blame.py
+++ b/wingfall/gateway/rules/crashes/crash_blame.py
@@ -40,7 +40,7 @@
 
 
 @final
-class Blame:
+class CrashEvidence:
     """The evidence that a request crashes endpoints."""
 
     __slots__ = (
@@ -134,7 +134,7 @@
 def find_causes(
     crashes: Sequence[EndpointCrash],
     served_ms: Mapping[Fingerprint, int],
-) -> dict[Fingerprint, Blame]:
+) -> dict[Fingerprint, CrashEvidence]:
     """Find the requests that crash endpoints.
 
     The request with the most evidence is the cause of its crashes;
@@ -145,7 +145,7 @@
         crashes before it don't count against the request.
     :returns: the evidence against each cause.
     """
-    causes: dict[Fingerprint, Blame] = {}
+    causes: dict[Fingerprint, CrashEvidence] = {}
     unexplained = list(crashes)
     while True:
         strongest = _find_strongest(unexplained, served_ms)
@@ -162,7 +162,7 @@
 def _find_strongest(
     crashes: Sequence[EndpointCrash],
     served_ms: Mapping[Fingerprint, int],
-) -> dict[Fingerprint, Blame]:
+) -> dict[Fingerprint, CrashEvidence]:
     by_suspect = {
         suspect: evidence
         for suspect, evidence in _collect_evidence(crashes, served_ms).items()
@@ -188,15 +188,15 @@
 def _collect_evidence(
     crashes: Sequence[EndpointCrash],
     served_ms: Mapping[Fingerprint, int],
-) -> dict[Fingerprint, Blame]:
-    by_suspect: dict[Fingerprint, Blame] = {}
+) -> dict[Fingerprint, CrashEvidence]:
+    by_suspect: dict[Fingerprint, CrashEvidence] = {}
     repeated = _find_repeated(crashes)
     for crash in sorted(crashes, key=_crash_time):
         suspects = repeated & crash.suspects
         for suspect in _filter_suspects(suspects, crash, crashes, served_ms):
             served = suspect in served_ms
             needed = _MIN_SERVED_WEIGHT if served else _MIN_WEIGHT
-            evidence = by_suspect.setdefault(suspect, Blame(min_weight=needed))
+            evidence = by_suspect.setdefault(suspect, CrashEvidence(min_weight=needed))
             if not (served and evidence.is_concurrent_with(crash)):
                 evidence.add(crash, _crash_weight(suspect, crash))
     return by_suspect
--- a/wingfall/gateway/rules/crashes/request_blocks.py
+++ b/wingfall/gateway/rules/crashes/request_blocks.py
@@ -10,7 +10,7 @@
 import hashlib
 from typing import TYPE_CHECKING, Final, final
 
-from wingfall.gateway.rules.crashes.crash_blame import Blame, find_causes
+from wingfall.gateway.rules.crashes.crash_blame import CrashEvidence, find_causes
 from wingfall.log import log_event
 
 if TYPE_CHECKING:
@@ -43,7 +43,7 @@
 
     __slots__ = ('evidence', 'retry_after_ms')
 
-    def __init__(self, *, evidence: Blame, retry_after_ms: int) -> None:
+    def __init__(self, *, evidence: CrashEvidence, retry_after_ms: int) -> None:
         """Initialize a block.
 
         :param evidence: evidence that the request crashes endpoints.
@@ -81,7 +81,7 @@
         self._started_ms = clock.now_ms()
         self._gateways = {name}
         self._revision = ledger.revision
-        self._causes: dict[Fingerprint, Blame] = {}
+        self._causes: dict[Fingerprint, CrashEvidence] = {}
         # Time of the last trial of a blocked request by this gateway.
         self._last_trial_ms: dict[Fingerprint, int] = {}
 
@@ -128,7 +128,7 @@
                 crashes=len(evidence.crashes),
             )
 
-    def _find_causes(self) -> dict[Fingerprint, Blame]:
+    def _find_causes(self) -> dict[Fingerprint, CrashEvidence]:
         if self._revision == self._ledger.revision:
             return self._causes
         previous = self._causes
@@ -144,7 +144,7 @@
         self._log_changes(previous)
         return self._causes
 
-    def _is_undecided(self, evidence: Blame) -> bool:
+    def _is_undecided(self, evidence: CrashEvidence) -> bool:
         if evidence.is_only_suspect and self._is_conclusive(evidence):
             return False
         # Later incomplete crashes don't count, so that repeated gateway losses
@@ -154,12 +154,12 @@
             since_ms = max(since_ms, evidence.last_complete_crash_ms)
         return self._clock.now_ms() - since_ms < _DECISION_DELAY_MS
 
-    def _is_conclusive(self, evidence: Blame) -> bool:
+    def _is_conclusive(self, evidence: CrashEvidence) -> bool:
         # Gateways lost before this one started are not known here.
         return evidence.is_certain and evidence.identified_ms >= self._started_ms
 
     def _trial_wait_ms(
-        self, fingerprint: Fingerprint, evidence: Blame
+        self, fingerprint: Fingerprint, evidence: CrashEvidence
     ) -> int | None:
         if evidence.excess_crashes >= len(_TRIAL_DELAYS_MS):
             return None
@@ -181,7 +181,7 @@
             ).digest(),
         )
 
-    def _log_changes(self, previous: dict[Fingerprint, Blame]) -> None:
+    def _log_changes(self, previous: dict[Fingerprint, CrashEvidence]) -> None:
         now_ms = self._clock.now_ms()
         for fingerprint in self._causes.keys() - previous.keys():
             crashes = self._causes[fingerprint].crashes
