--- a/tests/test_crash_exchange.py
+++ b/tests/test_crash_exchange.py
@@ -87,7 +87,7 @@
     wait_until(lambda: second._peers.names)
     # The gateway that observed the crash has no session with the second one.
     received = crash('e1', at_ms=first._clock.now_ms(), reported_by='gone')
-    ledger_of(first).take_crash(received)
+    ledger_of(first).merge_crash(received)
     wait_until(lambda: ledger_of(second).crashes)
 
 
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -70,8 +70,8 @@
     crash = EndpointCrash(
         endpoint='e1', crashed_ms=clock.now_ms(), reported_by='g2', silent=[b'a']
     )
-    assert ledger.take_crash(crash) is not None
-    assert ledger.take_crash(crash) is None
+    assert ledger.merge_crash(crash) is not None
+    assert ledger.merge_crash(crash) is None
     assert not ledger.take_unreported_crashes()
 
 
@@ -100,7 +100,7 @@
 ):
     flood = [b'%03d' % number for number in range(MOST_TOLD * 3)]
     record_crash(ledger, clock, 'e1', *flood)
-    ledger.take_crash(
+    ledger.merge_crash(
         EndpointCrash(
             endpoint='e1',
             crashed_ms=clock.now_ms(),
--- a/tests/test_request_blocks.py
+++ b/tests/test_request_blocks.py
@@ -184,7 +184,7 @@
     clock.advance(400)
     started = RequestBlocks(name='g2', clock=clock, ledger=ledger)
     for name in ('e1', 'e2', 'e3'):
-        ledger.take_crash(
+        ledger.merge_crash(
             EndpointCrash(
                 endpoint=name,
                 crashed_ms=crashed_ms,
--- a/wingfall/gateway/knowledge/crash_ledger.py
+++ b/wingfall/gateway/knowledge/crash_ledger.py
@@ -120,14 +120,14 @@
         :param crash: the crash, with this gateway's suspects.
         """
         selected = self._select_suspects(crash, crash.suspects, MOST_TOLD)
-        added = self.take_crash(crash.narrowed(selected))
+        added = self.merge_crash(crash.narrowed(selected))
         if added is not None:
             report = self._unreported_crashes.setdefault(crash.endpoint, added)
             report.silent |= added.silent
             report.streaming |= added.streaming
             self.updates_available.set()
 
-    def take_crash(self, crash: EndpointCrash) -> EndpointCrash | None:
+    def merge_crash(self, crash: EndpointCrash) -> EndpointCrash | None:
         """Merge a crash and its suspects into the stored crashes.
 
         :param crash: the crash, as seen here or reported by a peer.
--- a/wingfall/gateway/peers/crash_exchange.py
+++ b/wingfall/gateway/peers/crash_exchange.py
@@ -135,7 +135,7 @@
         """
         now_ms = self._clock.now_ms()
         for endpoint, age_ms, reported_by, silent, streaming in updates.crashes:
-            self._ledger.take_crash(
+            self._ledger.merge_crash(
                 EndpointCrash(
                     endpoint=endpoint,
                     crashed_ms=now_ms - age_ms,
