--- a/wingfall/gateway/knowledge/crash_ledger.py
+++ b/wingfall/gateway/knowledge/crash_ledger.py
@@ -176,7 +176,7 @@
             self._set_served(fingerprint, now_ms)
             self._report_served(fingerprint)
 
-    def take_served(self, fingerprint: Fingerprint, served_ms: int) -> None:
+    def merge_served(self, fingerprint: Fingerprint, served_ms: int) -> None:
         """Merge a successful answer that a peer reports.
 
         :param fingerprint: the request.
--- a/wingfall/gateway/peers/crash_exchange.py
+++ b/wingfall/gateway/peers/crash_exchange.py
@@ -145,7 +145,7 @@
                 ),
             )
         for fingerprint, age_ms in updates.served:
-            self._ledger.take_served(fingerprint, now_ms - age_ms)
+            self._ledger.merge_served(fingerprint, now_ms - age_ms)
         self._anti_entropy.note_state(self._ledger.revision)
 
     def _encode(
