--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -8,7 +8,7 @@
 
 from wingfall.clock import ManualClock
 from wingfall.gateway.knowledge.crash_ledger import (
-    MOST_SUSPECTS,
+    MAX_SUSPECTS,
     MOST_TOLD,
     CrashLedger,
 )
@@ -114,9 +114,9 @@
 def test_suspects_of_one_crash_are_bounded(
     ledger: CrashLedger, clock: ManualClock
 ):
-    for number in range(MOST_SUSPECTS * 2):
+    for number in range(MAX_SUSPECTS * 2):
         record_crash(ledger, clock, 'e1', b'%03d' % number)
-    assert len(ledger.crashes[0].suspects) == MOST_SUSPECTS
+    assert len(ledger.crashes[0].suspects) == MAX_SUSPECTS
 
 
 def test_crashes_of_a_day_are_bounded(ledger: CrashLedger, clock: ManualClock):
--- a/wingfall/gateway/knowledge/crash_ledger.py
+++ b/wingfall/gateway/knowledge/crash_ledger.py
@@ -29,7 +29,7 @@
 # with 12,000 endpoints. 3 MB with the maximum number of suspects.
 _MAX_CRASHES: Final = 256
 # Requests stored for one crash: twice the slots of a large engine.
-MOST_SUSPECTS: Final = 128
+MAX_SUSPECTS: Final = 128
 # Requests that one gateway reports for one crash, so that a flood of different
 # requests at some gateways leaves capacity for the reports of others.
 MOST_TOLD: Final = 32
@@ -137,7 +137,7 @@
             return None
         known = self._crashes.get(crash.endpoint)
         suspects = known.suspects if known else set()
-        capacity = MOST_SUSPECTS - len(suspects)
+        capacity = MAX_SUSPECTS - len(suspects)
         new = self._select_suspects(crash, crash.suspects - suspects, capacity)
         if known is not None and not new:
             return None
