--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -9,7 +9,7 @@
 from wingfall.clock import ManualClock
 from wingfall.gateway.knowledge.crash_ledger import (
     MAX_SUSPECTS,
-    MOST_TOLD,
+    MAX_REPORTED_SUSPECTS,
     CrashLedger,
 )
 from wingfall.gateway.model.endpoint_crash import EndpointCrash
@@ -88,17 +88,17 @@
     ledger: CrashLedger, clock: ManualClock
 ):
     record_crash(ledger, clock, 'e1', b'again')
-    flood = [b'%03d' % number for number in range(MOST_TOLD * 3)]
+    flood = [b'%03d' % number for number in range(MAX_REPORTED_SUSPECTS * 3)]
     record_crash(ledger, clock, 'e2', b'again', *flood)
     crash = ledger.crashes[1]
     assert b'again' in crash.suspects
-    assert len(crash.suspects) == MOST_TOLD
+    assert len(crash.suspects) == MAX_REPORTED_SUSPECTS
 
 
 def test_flood_at_one_gateway_leaves_room_for_others(
     ledger: CrashLedger, clock: ManualClock
 ):
-    flood = [b'%03d' % number for number in range(MOST_TOLD * 3)]
+    flood = [b'%03d' % number for number in range(MAX_REPORTED_SUSPECTS * 3)]
     record_crash(ledger, clock, 'e1', *flood)
     ledger.merge_crash(
         EndpointCrash(
--- a/wingfall/gateway/knowledge/crash_ledger.py
+++ b/wingfall/gateway/knowledge/crash_ledger.py
@@ -32,7 +32,7 @@
 MAX_SUSPECTS: Final = 128
 # Requests that one gateway reports for one crash, so that a flood of different
 # requests at some gateways leaves capacity for the reports of others.
-MOST_TOLD: Final = 32
+MAX_REPORTED_SUSPECTS: Final = 32
 # Milliseconds for which a crash is stored: a day, so that a request retried
 # each night crashes no more endpoints than in one night.
 _RETENTION_MS: Final = 86_400_000
@@ -119,7 +119,7 @@
 
         :param crash: the crash, with this gateway's suspects.
         """
-        selected = self._select_suspects(crash, crash.suspects, MOST_TOLD)
+        selected = self._select_suspects(crash, crash.suspects, MAX_REPORTED_SUSPECTS)
         added = self.merge_crash(crash.narrowed(selected))
         if added is not None:
             report = self._unreported_crashes.setdefault(crash.endpoint, added)
