--- a/wingfall/gateway/knowledge/crash_ledger.py
+++ b/wingfall/gateway/knowledge/crash_ledger.py
@@ -256,7 +256,7 @@
             known.streaming |= added.streaming - known.silent
             known.crashed_ms = min(known.crashed_ms, added.crashed_ms)
         merged = self._crashes[added.endpoint]
-        if self._lost.may_have_been_at(merged):
+        if self._lost.is_affected(merged):
             merged.incomplete = True
         self.revision += 1
         for suspect in added.suspects:
--- a/wingfall/gateway/knowledge/lost_gateways.py
+++ b/wingfall/gateway/knowledge/lost_gateways.py
@@ -49,7 +49,7 @@
         }
         self._lost_ms[name] = now_ms
 
-    def may_have_been_at(self, crash: EndpointCrash) -> bool:
+    def is_affected(self, crash: EndpointCrash) -> bool:
         """Check if any lost gateway may have unreported requests at a crash.
 
         :param crash: the crash.
