--- a/wingfall/gateway/knowledge/crash_ledger.py
+++ b/wingfall/gateway/knowledge/crash_ledger.py
@@ -153,7 +153,7 @@
         self._lost.note(name)
         for crash in self._crashes.values():
             # Check only this loss: a whole fleet may be lost at once.
-            if not crash.incomplete and self._lost.was_beside(name, crash):
+            if not crash.incomplete and self._lost.is_affected_by(name, crash):
                 crash.incomplete = True
                 self.revision += 1
 
--- a/wingfall/gateway/knowledge/lost_gateways.py
+++ b/wingfall/gateway/knowledge/lost_gateways.py
@@ -55,9 +55,9 @@
         :param crash: the crash.
         :returns: whether there may be such requests.
         """
-        return any(self.was_beside(name, crash) for name in self._lost_ms)
+        return any(self.is_affected_by(name, crash) for name in self._lost_ms)
 
-    def was_beside(self, name: str, crash: EndpointCrash) -> bool:
+    def is_affected_by(self, name: str, crash: EndpointCrash) -> bool:
         """Check if a lost gateway may have unreported requests at a crash.
 
         A gateway that reported the crash itself has reported all its requests.
