--- a/wingfall/gateway/knowledge/crash_ledger.py
+++ b/wingfall/gateway/knowledge/crash_ledger.py
@@ -15,7 +15,7 @@
 
 from gevent.event import Event
 
-from wingfall.gateway.knowledge.crash_sums import CrashSums
+from wingfall.gateway.knowledge.crash_sums import CrashDigests
 from wingfall.gateway.knowledge.lost_gateways import LostGateways
 from wingfall.gateway.model.endpoint_crash import EndpointCrash
 
@@ -71,7 +71,7 @@
         """
         self._clock = clock
         self._crashes: dict[str, EndpointCrash] = {}
-        self._digests = CrashSums()
+        self._digests = CrashDigests()
         self._lost = LostGateways(clock=clock)
         # Time of the last crash of each suspect.
         self._last_crash_ms: dict[Fingerprint, int] = {}
--- a/wingfall/gateway/knowledge/crash_sums.py
+++ b/wingfall/gateway/knowledge/crash_sums.py
@@ -17,7 +17,7 @@
 
 
 @final
-class CrashSums:
+class CrashDigests:
     """The digest of the suspect requests of each crash."""
 
     __slots__ = ('_digests',)
