--- a/tests/test_shared_rates.py
+++ b/tests/test_shared_rates.py
@@ -6,7 +6,7 @@
 
 from wingfall.clock import ManualClock
 from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
-from wingfall.gateway.knowledge.engine_speed import FIRST_RATE, MAX_RATE
+from wingfall.gateway.knowledge.engine_speed import INITIAL_TOKENS_PER_MS, MAX_RATE
 from wingfall.gateway.knowledge.engine_speeds import EngineSpeeds, OwnRates
 from wingfall.gateway.knowledge.shared_rates import SharedRates
 from wingfall.gateway.peers.loads.load_entries import Activity, note_activity
@@ -45,12 +45,12 @@
 
 
 def test_unseen_engine_has_the_median_of_its_pool(rates: SharedRates):
-    assert rate_of(rates, 'new') == FIRST_RATE
+    assert rate_of(rates, 'new') == INITIAL_TOKENS_PER_MS
     for engine, elapsed_ms in (('a', 100), ('b', 120), ('c', 300)):
         rates.note(engine, POOL, LONG_TOKENS, elapsed_ms)
     assert rate_of(rates, 'new') == 50
     assert rates.of_pool(POOL).tokens_per_ms == 50
-    assert rates.find('other', 'other pool').tokens_per_ms == FIRST_RATE
+    assert rates.find('other', 'other pool').tokens_per_ms == INITIAL_TOKENS_PER_MS
 
 
 def test_what_waited_does_not_count_since_part_of_it_was_read(
@@ -86,15 +86,15 @@
 def test_gateway_that_learns_alone_passes_over_prompts_behind_much_else():
     rates = OwnRates()
     rates.note('e', POOL, 3 * LONG_TOKENS, FAST_MS, waiting=2 * LONG_TOKENS)
-    assert rate_of(rates, 'e') == FIRST_RATE
+    assert rate_of(rates, 'e') == INITIAL_TOKENS_PER_MS
     rates.note('e', POOL, 2 * LONG_TOKENS, FAST_MS, waiting=LONG_TOKENS)
-    assert rate_of(rates, 'e') > FIRST_RATE
+    assert rate_of(rates, 'e') > INITIAL_TOKENS_PER_MS
 
 
 def test_short_reads_and_reads_without_time_do_not_count(rates: SharedRates):
     rates.note('e', POOL, SHORT_TOKENS, 1)
     rates.note('e', POOL, LONG_TOKENS, 0)
-    assert rate_of(rates, 'e') == FIRST_RATE
+    assert rate_of(rates, 'e') == INITIAL_TOKENS_PER_MS
     assert not rates.take_unreported()
 
 
@@ -189,7 +189,7 @@
 ):
     rates.note('gone', POOL, LONG_TOKENS, FAST_MS)
     rates.retain_only({'other'})
-    assert rates.of_pool(POOL).tokens_per_ms == FIRST_RATE
+    assert rates.of_pool(POOL).tokens_per_ms == INITIAL_TOKENS_PER_MS
     assert not rates.take_unreported()
     manual_clock.advance(EXPIRY_MS)
     rates.retain_only({'other'})
@@ -228,7 +228,7 @@
     for _sample in range(4):
         speeds.note_start('e', POOL, 0, 50)
     speeds.note_start('e', POOL, LONG_TOKENS, 45)
-    assert rate_of(rates, 'e') == FIRST_RATE
+    assert rate_of(rates, 'e') == INITIAL_TOKENS_PER_MS
 
 
 def test_gateways_that_learn_alone_tell_and_take_nothing():
@@ -245,7 +245,7 @@
 
 def test_look_at_a_rate_changes_nothing(manual_clock: ManualClock):
     for rates in (OwnRates(), SharedRates(clock=manual_clock)):
-        assert rates.look('new', POOL).tokens_per_ms == FIRST_RATE
+        assert rates.look('new', POOL).tokens_per_ms == INITIAL_TOKENS_PER_MS
         rates.note('e', POOL, LONG_TOKENS, FAST_MS)
         seen = rates.find('e', POOL).tokens_per_ms
         assert rates.look('e', POOL).tokens_per_ms == seen
--- a/tests/test_sized_rates.py
+++ b/tests/test_sized_rates.py
@@ -14,7 +14,7 @@
 # Reported by another gateway, in tenths of a token per millisecond.
 REPORTED_RATES = [1500, 1500, 1500]
 REPORTED_RATE = 150
-FIRST_RATE = 25
+INITIAL_TOKENS_PER_MS = 25
 LARGE_POOL = 9
 
 
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize(
     ('count', 'rate'),
-    [(LARGE_POOL - 1, FIRST_RATE), (LARGE_POOL, REPORTED_RATE)],
+    [(LARGE_POOL - 1, INITIAL_TOKENS_PER_MS), (LARGE_POOL, REPORTED_RATE)],
 )
 def test_readings_of_others_count_in_large_pools_alone(
     knowledge: EndpointKnowledge, count: int, rate: float
@@ -67,7 +67,7 @@
     list_engines(knowledge, LARGE_POOL - 1)
     knowledge.take_readings('i-0', REPORTED_RATES)
     speed = knowledge.speed('i-0')
-    assert speed.rate.tokens_per_ms == FIRST_RATE
+    assert speed.rate.tokens_per_ms == INITIAL_TOKENS_PER_MS
     list_engines(knowledge, LARGE_POOL)
     clock.advance(500)
     assert speed.rate.tokens_per_ms == REPORTED_RATE
@@ -87,7 +87,7 @@
     knowledge: EndpointKnowledge, clock: ManualClock
 ):
     speed = knowledge.speed('i-0')
-    assert speed.rate.tokens_per_ms == FIRST_RATE
+    assert speed.rate.tokens_per_ms == INITIAL_TOKENS_PER_MS
     list_engines(knowledge, LARGE_POOL)
     clock.advance(500)
     knowledge.take_readings('i-0', REPORTED_RATES)
@@ -112,5 +112,5 @@
     list_engines(knowledge, LARGE_POOL)
     assert knowledge.judges_together(POOL) == together
     knowledge.take_readings('i-0', REPORTED_RATES)
-    rate = REPORTED_RATE if together else FIRST_RATE
+    rate = REPORTED_RATE if together else INITIAL_TOKENS_PER_MS
     assert knowledge.speed('i-0').rate.tokens_per_ms == rate
--- a/wingfall/gateway/knowledge/engine_speed.py
+++ b/wingfall/gateway/knowledge/engine_speed.py
@@ -16,7 +16,7 @@
 # Tokens per millisecond that are assumed before the first sample: the rate of
 # the slower half of the engines measured so far. Too low an estimate only sends
 # fewer prompts.
-FIRST_RATE: Final = 25
+INITIAL_TOKENS_PER_MS: Final = 25
 # Bounds of a sample in tokens per millisecond, so that one wrong sample has
 # little effect. They are far below and above the engines measured so far.
 MIN_RATE: Final = 2
@@ -66,7 +66,7 @@
 
     __slots__ = ('_tokens_per_ms',)
 
-    def __init__(self, *, tokens_per_ms: float = FIRST_RATE) -> None:
+    def __init__(self, *, tokens_per_ms: float = INITIAL_TOKENS_PER_MS) -> None:
         """Create a prefill rate without samples.
 
         :param tokens_per_ms: the initial estimate.
@@ -133,7 +133,7 @@
     def __init__(
         self,
         *,
-        tokens_per_ms: float = FIRST_RATE,
+        tokens_per_ms: float = INITIAL_TOKENS_PER_MS,
         rate: Rate | None = None,
         longest_gap: LongestGap | None = None,
         full_gaps: GapWindow | None = None,
--- a/wingfall/gateway/knowledge/shared_rates.py
+++ b/wingfall/gateway/knowledge/shared_rates.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, Any, Final, final
 
 from wingfall.gateway.knowledge.engine_speed import (
-    FIRST_RATE,
+    INITIAL_TOKENS_PER_MS,
     MAX_RATE,
     MEASURED_TOKENS,
     MIN_RATE,
@@ -49,7 +49,7 @@
         """Median prefill rate of the pool in tokens per millisecond."""
         if self._median is None:
             rates = [each.rate for each in self._windows.values() if each.rate]
-            self._median = statistics.median(rates) if rates else FIRST_RATE
+            self._median = statistics.median(rates) if rates else INITIAL_TOKENS_PER_MS
         return self._median
 
     def add(self, engine: str, window: ReadingWindow) -> None:
@@ -94,7 +94,7 @@
         """Prefill rate of the engine in tokens per millisecond."""
         if self.window.rate is not None:
             return self.window.rate
-        return self._pool.tokens_per_ms if self._pool else FIRST_RATE
+        return self._pool.tokens_per_ms if self._pool else INITIAL_TOKENS_PER_MS
 
     def join(self, pool: PoolRate) -> None:
         """Move the engine to a pool.
