--- a/wingfall/gateway/knowledge/shared_rates.py
+++ b/wingfall/gateway/knowledge/shared_rates.py
@@ -15,7 +15,7 @@
     INITIAL_TOKENS_PER_MS,
     MAX_RATE,
     MEASURED_TOKENS,
-    MIN_RATE,
+    MIN_TOKENS_PER_MS,
 )
 from wingfall.gateway.knowledge.fixed_start import FixedStart
 from wingfall.gateway.knowledge.reading_window import ReadingWindow
@@ -283,4 +283,4 @@
 
 
 def _clamp_rate(tokens_per_ms: float) -> float:
-    return min(MAX_RATE, max(MIN_RATE, tokens_per_ms))
+    return min(MAX_RATE, max(MIN_TOKENS_PER_MS, tokens_per_ms))
