--- a/tests/test_shared_rates.py
+++ b/tests/test_shared_rates.py
@@ -6,7 +6,7 @@
 
 from wingfall.clock import ManualClock
 from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
-from wingfall.gateway.knowledge.engine_speed import INITIAL_TOKENS_PER_MS, MAX_RATE
+from wingfall.gateway.knowledge.engine_speed import INITIAL_TOKENS_PER_MS, MAX_TOKENS_PER_MS
 from wingfall.gateway.knowledge.engine_speeds import EngineSpeeds, OwnRates
 from wingfall.gateway.knowledge.shared_rates import SharedRates
 from wingfall.gateway.peers.loads.load_entries import Activity, note_activity
@@ -101,7 +101,7 @@
 def test_absurd_readings_are_bounded(rates: SharedRates):
     rates.note('e', POOL, LONG_TOKENS, 0.1)
     rates.merge_reported('e', POOL, [10**9])
-    assert rate_of(rates, 'e') == MAX_RATE
+    assert rate_of(rates, 'e') == MAX_TOKENS_PER_MS
 
 
 def test_told_readings_count_like_own_ones(
--- a/wingfall/gateway/knowledge/engine_speed.py
+++ b/wingfall/gateway/knowledge/engine_speed.py
@@ -20,7 +20,7 @@
 # Bounds of a sample in tokens per millisecond, so that one wrong sample has
 # little effect. They are far below and above the engines measured so far.
 MIN_TOKENS_PER_MS: Final = 2
-MAX_RATE: Final = 500
+MAX_TOKENS_PER_MS: Final = 500
 # Weight of a new sample in the average, which settles after ten samples.
 _RATE_WEIGHT: Final = 0.1
 # Shortest prefill that is measured, some 80 ms long: the time of shorter ones
@@ -87,7 +87,7 @@
         """
         if tokens < MEASURED_TOKENS or elapsed_ms <= 0:
             return
-        rate = min(MAX_RATE, max(MIN_TOKENS_PER_MS, tokens / elapsed_ms))
+        rate = min(MAX_TOKENS_PER_MS, max(MIN_TOKENS_PER_MS, tokens / elapsed_ms))
         self._tokens_per_ms += (rate - self._tokens_per_ms) * _RATE_WEIGHT
 
 
--- a/wingfall/gateway/knowledge/shared_rates.py
+++ b/wingfall/gateway/knowledge/shared_rates.py
@@ -13,7 +13,7 @@
 
 from wingfall.gateway.knowledge.engine_speed import (
     INITIAL_TOKENS_PER_MS,
-    MAX_RATE,
+    MAX_TOKENS_PER_MS,
     MEASURED_TOKENS,
     MIN_TOKENS_PER_MS,
 )
@@ -283,4 +283,4 @@
 
 
 def _clamp_rate(tokens_per_ms: float) -> float:
-    return min(MAX_RATE, max(MIN_TOKENS_PER_MS, tokens_per_ms))
+    return min(MAX_TOKENS_PER_MS, max(MIN_TOKENS_PER_MS, tokens_per_ms))
