--- a/wingfall/gateway/knowledge/engine_speed.py
+++ b/wingfall/gateway/knowledge/engine_speed.py
@@ -25,7 +25,7 @@
 _RATE_WEIGHT: Final = 0.1
 # Shortest prefill that is measured, some 80 ms long: the time of shorter ones
 # depends more on the network delay than on the engine.
-MEASURED_TOKENS: Final = 2000
+MIN_SAMPLE_TOKENS: Final = 2000
 # Token gap without prefills that is assumed before the first sample of an
 # engine.
 _INITIAL_GAP_MS: Final = 30
@@ -85,7 +85,7 @@
         :param elapsed_ms: milliseconds from sending the prompt to the first
             event of its answer.
         """
-        if tokens < MEASURED_TOKENS or elapsed_ms <= 0:
+        if tokens < MIN_SAMPLE_TOKENS or elapsed_ms <= 0:
             return
         rate = min(MAX_TOKENS_PER_MS, max(MIN_TOKENS_PER_MS, tokens / elapsed_ms))
         self._tokens_per_ms += (rate - self._tokens_per_ms) * _RATE_WEIGHT
--- a/wingfall/gateway/knowledge/shared_rates.py
+++ b/wingfall/gateway/knowledge/shared_rates.py
@@ -14,7 +14,7 @@
 from wingfall.gateway.knowledge.engine_speed import (
     INITIAL_TOKENS_PER_MS,
     MAX_TOKENS_PER_MS,
-    MEASURED_TOKENS,
+    MIN_SAMPLE_TOKENS,
     MIN_TOKENS_PER_MS,
 )
 from wingfall.gateway.knowledge.fixed_start import FixedStart
@@ -198,7 +198,7 @@
             sample too high.
         """
         prompt_tokens = tokens - waiting
-        if prompt_tokens < MEASURED_TOKENS or elapsed_ms <= 0:
+        if prompt_tokens < MIN_SAMPLE_TOKENS or elapsed_ms <= 0:
             return
         rate = _clamp_rate(prompt_tokens / elapsed_ms)
         shared, now_ms = self.find(engine, pool), self._clock.now_ms()
@@ -224,7 +224,7 @@
         :param tokens: prefill tokens of the prompt and of those before it.
         :param elapsed_ms: milliseconds from sending it to its first event.
         """
-        if tokens < MEASURED_TOKENS:
+        if tokens < MIN_SAMPLE_TOKENS:
             prefill_ms = tokens / self.find(engine, pool).tokens_per_ms
             self.of_pool(pool).fixed_start.note(elapsed_ms - prefill_ms)
 
