--- a/wingfall/gateway/knowledge/endpoint_knowledge.py
+++ b/wingfall/gateway/knowledge/endpoint_knowledge.py
@@ -17,7 +17,7 @@
 from wingfall.gateway.knowledge.engine_speeds import EngineSpeeds
 from wingfall.gateway.knowledge.full_gaps import FullGaps
 from wingfall.gateway.knowledge.load import LoadTable
-from wingfall.gateway.knowledge.long_reads import SHORT_READ_TOKENS, LongReads
+from wingfall.gateway.knowledge.long_reads import SHORT_PREFILL_TOKENS, LongReads
 from wingfall.gateway.knowledge.own_rates import OwnRates
 from wingfall.gateway.knowledge.prefix_caches import PrefixCaches
 from wingfall.gateway.knowledge.sized_rates import SizedRates
@@ -251,7 +251,7 @@
         :param name: name of the endpoint.
         :param uncached_tokens: prompt tokens that the engine has to prefill.
         """
-        excess_tokens = uncached_tokens - SHORT_READ_TOKENS
+        excess_tokens = uncached_tokens - SHORT_PREFILL_TOKENS
         if excess_tokens > 0:
             self.long_reads.note(name, excess_tokens)
 
--- a/wingfall/gateway/knowledge/long_reads.py
+++ b/wingfall/gateway/knowledge/long_reads.py
@@ -15,7 +15,7 @@
 
 # Prefills up to this length fit between the tokens of running streams: about
 # the chunk of a prompt that an engine prefills at once.
-SHORT_READ_TOKENS: Final = 1024
+SHORT_PREFILL_TOKENS: Final = 1024
 # Long enough to distinguish an engine that prefills some long prompts a second
 # from an engine without long prompts, short enough to follow a burst.
 _HALF_LIFE_MS: Final = 1000
--- a/wingfall/gateway/rules/placement/endpoint_choice.py
+++ b/wingfall/gateway/rules/placement/endpoint_choice.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Callable, Final
 
 from wingfall.gateway.knowledge.engine_speed import late_chance
-from wingfall.gateway.knowledge.long_reads import SHORT_READ_TOKENS
+from wingfall.gateway.knowledge.long_reads import SHORT_PREFILL_TOKENS
 from wingfall.registry import Registry
 
 if TYPE_CHECKING:
@@ -72,7 +72,7 @@
     :returns: the expected number of streams, the request itself included.
     """
     speed = candidate.speed
-    long_prefill = max(0, uncached - SHORT_READ_TOKENS)
+    long_prefill = max(0, uncached - SHORT_PREFILL_TOKENS)
     late = sum(
         speed.held_up_share(long_prefill, gap_ms) * count
         for gap_ms, count in candidate.streams.items()
--- a/wingfall/gateway/rules/placement/pool_look.py
+++ b/wingfall/gateway/rules/placement/pool_look.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Callable, Final, final
 
-from wingfall.gateway.knowledge.long_reads import SHORT_READ_TOKENS
+from wingfall.gateway.knowledge.long_reads import SHORT_PREFILL_TOKENS
 from wingfall.gateway.rules.placement.engine_classes import PoolEngine
 
 if TYPE_CHECKING:
@@ -51,7 +51,7 @@
         }
         recent_tokens = sum(map(knowledge.long_reads.tokens, self.engines))
         # Whether long prompts arrived recently.
-        self.has_long_prefills = recent_tokens >= SHORT_READ_TOKENS
+        self.has_long_prefills = recent_tokens >= SHORT_PREFILL_TOKENS
 
     def count_streams(
         self, is_counted: Callable[[int], bool]
