--- a/tests/test_engine_speed.py
+++ b/tests/test_engine_speed.py
@@ -9,7 +9,7 @@
 from wingfall.gateway.knowledge.engine_speed import (
     EngineSpeed,
     LongestGap,
-    ReadRate,
+    PrefillRate,
     late_chance,
 )
 
@@ -18,7 +18,7 @@
 
 
 def test_rate_is_learned_from_long_reads_only():
-    rate = ReadRate()
+    rate = PrefillRate()
     first = rate.tokens_per_ms
     rate.note(100, 1)
     assert math.isclose(rate.tokens_per_ms, first)
--- a/wingfall/gateway/knowledge/engine_speed.py
+++ b/wingfall/gateway/knowledge/engine_speed.py
@@ -61,7 +61,7 @@
 
 
 @final
-class ReadRate:
+class PrefillRate:
     """The measured prefill rate of an engine or of the engines of a pool."""
 
     __slots__ = ('_tokens_per_ms',)
@@ -145,7 +145,7 @@
         :param longest_gap: longest token gap that prefills cause in the pool.
         :param full_gaps: stores the engine's gaps during prefill, if given.
         """
-        self.rate = rate or ReadRate(tokens_per_ms=tokens_per_ms)
+        self.rate = rate or PrefillRate(tokens_per_ms=tokens_per_ms)
         self._longest_gap = longest_gap or LongestGap()
         self._idle_gap_ms: float = _INITIAL_GAP_MS
         self.full_gaps = full_gaps
--- a/wingfall/gateway/knowledge/own_rates.py
+++ b/wingfall/gateway/knowledge/own_rates.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any, final
 
-from wingfall.gateway.knowledge.engine_speed import ReadRate
+from wingfall.gateway.knowledge.engine_speed import PrefillRate
 
 if TYPE_CHECKING:
     from wingfall.clock import Clock
@@ -21,10 +21,10 @@
 
         :param clock: unused, since averages do not age.
         """
-        self._by_engine: dict[str, ReadRate] = {}
-        self._by_pool: dict[str, ReadRate] = {}
+        self._by_engine: dict[str, PrefillRate] = {}
+        self._by_pool: dict[str, PrefillRate] = {}
 
-    def find(self, engine: str, pool: str) -> ReadRate:
+    def find(self, engine: str, pool: str) -> PrefillRate:
         """Return the rate of an engine, created if it is missing.
 
         :param engine: name of the engine.
@@ -33,11 +33,11 @@
         """
         rate = self._by_engine.get(engine)
         if rate is None:
-            rate = ReadRate(tokens_per_ms=self.of_pool(pool).tokens_per_ms)
+            rate = PrefillRate(tokens_per_ms=self.of_pool(pool).tokens_per_ms)
             self._by_engine[engine] = rate
         return rate
 
-    def look(self, engine: str, pool: str) -> ReadRate:
+    def look(self, engine: str, pool: str) -> PrefillRate:
         """Return the rate of an engine, or of its pool if it is unknown.
 
         :param engine: name of the engine.
@@ -46,13 +46,13 @@
         """
         return self._by_engine.get(engine) or self.of_pool(pool)
 
-    def of_pool(self, pool: str) -> ReadRate:
+    def of_pool(self, pool: str) -> PrefillRate:
         """Return the average rate of a pool.
 
         :param pool: name of the pool.
         :returns: the rate.
         """
-        return self._by_pool.setdefault(pool, ReadRate())
+        return self._by_pool.setdefault(pool, PrefillRate())
 
     def note(
         self,
