--- a/tests/test_long_reads.py
+++ b/tests/test_long_reads.py
@@ -5,11 +5,11 @@
 import pytest
 
 from wingfall.clock import ManualClock
-from wingfall.gateway.knowledge.long_reads import LongReads
+from wingfall.gateway.knowledge.long_reads import LongPrefills
 
 
 def test_reads_fade(clock: ManualClock):
-    prefills = LongReads(clock=clock)
+    prefills = LongPrefills(clock=clock)
     prefills.note('busy', 3000)
     prefills.note('busy', 1000)
     assert prefills.tokens('busy') == pytest.approx(4000)
@@ -19,7 +19,7 @@
 
 
 def test_engines_that_left_are_forgotten(clock: ManualClock):
-    prefills = LongReads(clock=clock)
+    prefills = LongPrefills(clock=clock)
     prefills.note('gone', 3000)
     prefills.retain_only({'other'})
     assert prefills.tokens('gone') == pytest.approx(0)
--- a/wingfall/gateway/knowledge/endpoint_knowledge.py
+++ b/wingfall/gateway/knowledge/endpoint_knowledge.py
@@ -17,7 +17,7 @@
 from wingfall.gateway.knowledge.engine_speeds import EngineSpeeds
 from wingfall.gateway.knowledge.full_gaps import FullGaps
 from wingfall.gateway.knowledge.load import LoadTable
-from wingfall.gateway.knowledge.long_reads import SHORT_PREFILL_TOKENS, LongReads
+from wingfall.gateway.knowledge.long_reads import SHORT_PREFILL_TOKENS, LongPrefills
 from wingfall.gateway.knowledge.own_rates import OwnRates
 from wingfall.gateway.knowledge.prefix_caches import PrefixCaches
 from wingfall.gateway.knowledge.sized_rates import SizedRates
@@ -127,7 +127,7 @@
         # Errors of first event estimates, from first events received.
         self.start_estimates = start_estimates or StartEstimates()
         # Recent long prefills, from all gateways.
-        self.long_reads = LongReads(clock=clock)
+        self.long_reads = LongPrefills(clock=clock)
         # Failure rates, from the calls of all gateways.
         self.health = EndpointHealth(clock=clock)
         # Crashes and the requests that ran there, from all gateways.
--- a/wingfall/gateway/knowledge/long_reads.py
+++ b/wingfall/gateway/knowledge/long_reads.py
@@ -22,7 +22,7 @@
 
 
 @final
-class LongReads:
+class LongPrefills:
     """Decaying sums of the long prefill tokens sent to each engine."""
 
     __slots__ = ('_clock', '_sums')
