--- a/wingfall/gateway/knowledge/reading_window.py
+++ b/wingfall/gateway/knowledge/reading_window.py
@@ -30,7 +30,7 @@
 
 
 @final
-class ReadingWindow:
+class PrefillRateWindow:
     """The recent prefill rate of one engine."""
 
     __slots__ = ('_rate', '_samples')
--- a/wingfall/gateway/knowledge/shared_rates.py
+++ b/wingfall/gateway/knowledge/shared_rates.py
@@ -18,7 +18,7 @@
     MIN_TOKENS_PER_MS,
 )
 from wingfall.gateway.knowledge.fixed_start import FixedStart
-from wingfall.gateway.knowledge.reading_window import ReadingWindow
+from wingfall.gateway.knowledge.reading_window import PrefillRateWindow
 
 if TYPE_CHECKING:
     from wingfall.clock import Clock
@@ -39,7 +39,7 @@
 
     def __init__(self) -> None:
         """Create the rate of a pool without engines."""
-        self._windows: dict[str, ReadingWindow] = {}
+        self._windows: dict[str, PrefillRateWindow] = {}
         # Tokens per millisecond, None if it must be recomputed.
         self._median: float | None = None
         self.fixed_start = FixedStart()
@@ -52,7 +52,7 @@
             self._median = statistics.median(rates) if rates else INITIAL_TOKENS_PER_MS
         return self._median
 
-    def add(self, engine: str, window: ReadingWindow) -> None:
+    def add(self, engine: str, window: PrefillRateWindow) -> None:
         """Add an engine to the pool.
 
         :param engine: name of the engine.
@@ -87,7 +87,7 @@
         """
         self._engine = engine
         self._pool: PoolRate | None = None
-        self.window = ReadingWindow()
+        self.window = PrefillRateWindow()
 
     @property
     def tokens_per_ms(self) -> float:
