--- a/wingfall/gateway/knowledge/engine_speed.py
+++ b/wingfall/gateway/knowledge/engine_speed.py
@@ -168,7 +168,7 @@
         """
         return tokens / self.rate.tokens_per_ms
 
-    def room_tokens(self, gap_ms: float) -> float:
+    def free_gap_tokens(self, gap_ms: float) -> float:
         """Return how many tokens fit between two events of a stream.
 
         :param gap_ms: the token gap bound of the stream in milliseconds.
@@ -192,7 +192,7 @@
         full_ms = self.full_gap_ms
         if full_ms is not None and full_ms < gap_ms * _HARMLESS_GAP_FRACTION:
             return 0
-        return tokens / self.room_tokens(gap_ms)
+        return tokens / self.free_gap_tokens(gap_ms)
 
     def note_gap(self, gap_ms: int) -> None:
         """Record a token gap of a stream without prefills.
