--- a/tests/test_engine_speed.py
+++ b/tests/test_engine_speed.py
@@ -57,13 +57,13 @@
 def test_read_takes_a_share_of_the_room_between_events():
     speed = with_gaps((200, SATURATED))
     free_ms = 200 - speed.idle_gap_ms
-    assert speed.held_up_share(free_ms * 40, 200) == pytest.approx(1)
-    assert speed.held_up_share(free_ms * 10, 200) == pytest.approx(1 / 4)
+    assert speed.prefill_gap_share(free_ms * 40, 200) == pytest.approx(1)
+    assert speed.prefill_gap_share(free_ms * 10, 200) == pytest.approx(1 / 4)
 
 
 def test_reads_are_harmless_far_below_what_a_stream_bears():
-    assert with_gaps((200, SATURATED)).held_up_share(SATURATED, 600) == 0
-    assert with_gaps().held_up_share(SATURATED, 600) > 0
+    assert with_gaps((200, SATURATED)).prefill_gap_share(SATURATED, 600) == 0
+    assert with_gaps().prefill_gap_share(SATURATED, 600) > 0
 
 
 @pytest.mark.parametrize(
--- a/wingfall/gateway/knowledge/engine_speed.py
+++ b/wingfall/gateway/knowledge/engine_speed.py
@@ -177,7 +177,7 @@
         free_ms = gap_ms - self._idle_gap_ms
         return max(1.0, free_ms * self.rate.tokens_per_ms)
 
-    def held_up_share(self, tokens: float, gap_ms: float) -> float:
+    def prefill_gap_share(self, tokens: float, gap_ms: float) -> float:
         """Return the share of a stream's token gap bound that prefills take.
 
         Concurrent prefills of other gateways are not known: if they may take
--- a/wingfall/gateway/rules/placement/endpoint_choice.py
+++ b/wingfall/gateway/rules/placement/endpoint_choice.py
@@ -74,7 +74,7 @@
     speed = candidate.speed
     long_prefill = max(0, uncached - SHORT_PREFILL_TOKENS)
     late = sum(
-        speed.held_up_share(long_prefill, gap_ms) * count
+        speed.prefill_gap_share(long_prefill, gap_ms) * count
         for gap_ms, count in candidate.streams.items()
         if not candidate.meets_gap_bound(gap_ms)
     )
@@ -82,7 +82,7 @@
     if gap_bound_ms and not candidate.meets_gap_bound(gap_bound_ms):
         # Long prefills are assumed to continue at the recent rate.
         expected_tokens = candidate.long_reads
-        late += speed.held_up_share(expected_tokens, gap_bound_ms)
+        late += speed.prefill_gap_share(expected_tokens, gap_bound_ms)
     return late
 
 
