--- a/tests/test_engine_speed.py
+++ b/tests/test_engine_speed.py
@@ -10,7 +10,7 @@
     EngineSpeed,
     LongestGap,
     PrefillRate,
-    late_chance,
+    late_probability,
 )
 
 # Pending prefill tokens of an engine at full load.
@@ -74,4 +74,4 @@
     expected_ms: int,
     probability: float,
 ):
-    assert late_chance(expected_ms, 200) == pytest.approx(probability)
+    assert late_probability(expected_ms, 200) == pytest.approx(probability)
--- a/wingfall/gateway/knowledge/engine_speed.py
+++ b/wingfall/gateway/knowledge/engine_speed.py
@@ -217,7 +217,7 @@
             self.full_gaps.note(gap_ms)
 
 
-def late_chance(expected_ms: float, bound_ms: float) -> float:
+def late_probability(expected_ms: float, bound_ms: float) -> float:
     """Estimate the probability that a time exceeds its bound.
 
     :param expected_ms: the estimated time in milliseconds.
--- a/wingfall/gateway/rules/placement/endpoint_choice.py
+++ b/wingfall/gateway/rules/placement/endpoint_choice.py
@@ -10,7 +10,7 @@
 
 from typing import TYPE_CHECKING, Callable, Final
 
-from wingfall.gateway.knowledge.engine_speed import late_chance
+from wingfall.gateway.knowledge.engine_speed import late_probability
 from wingfall.gateway.knowledge.long_reads import SHORT_PREFILL_TOKENS
 from wingfall.registry import Registry
 
@@ -97,7 +97,7 @@
     if not demand.start_target_ms:
         return 0
     start_ms = candidate.speed.prefill_ms(candidate.prefill_tokens + uncached)
-    return late_chance(start_ms, demand.start_target_ms)
+    return late_probability(start_ms, demand.start_target_ms)
 
 
 def prompt_cost(demand: Demand, candidate: Candidate) -> float:
