--- a/tests/test_reading_window.py
+++ b/tests/test_reading_window.py
@@ -92,13 +92,13 @@
 
 def test_belief_of_another_gateway_counts_only_without_a_reading():
     window = PrefillRateWindow()
-    window.note_belief(FAST, 0)
+    window.note_peer_rate(FAST, 0)
     assert window.rate == FAST
     for _peer in range(20):
-        window.note_belief(OUTLIER, 0)
+        window.note_peer_rate(OUTLIER, 0)
     assert window.rate == FAST
     sampled = record(PrefillRateWindow(), SLOW)
-    sampled.note_belief(FAST, STEP_MS)
+    sampled.note_peer_rate(FAST, STEP_MS)
     assert sampled.rate == SLOW
 
 
--- a/wingfall/gateway/knowledge/reading_window.py
+++ b/wingfall/gateway/knowledge/reading_window.py
@@ -85,7 +85,7 @@
             (rate for rate, _sampled_ms in self._samples), _RATE_QUANTILE
         )
 
-    def note_belief(self, tokens_per_ms: float, now_ms: int) -> None:
+    def note_peer_rate(self, tokens_per_ms: float, now_ms: int) -> None:
         """Record the rate that another gateway has estimated.
 
         The rate represents that gateway's samples while this gateway has none;
--- a/wingfall/gateway/knowledge/shared_rates.py
+++ b/wingfall/gateway/knowledge/shared_rates.py
@@ -240,7 +240,7 @@
         for tenths in rates:
             rate = _clamp_rate(abs(tenths) / _REPORTED_UNITS_PER_TOKEN)
             if tenths < 0:
-                shared.window.note_belief(rate, now_ms)
+                shared.window.note_peer_rate(rate, now_ms)
             else:
                 shared.window.note(rate, now_ms)
         shared.note_change()
