--- a/tests/test_reading_window.py
+++ b/tests/test_reading_window.py
@@ -30,7 +30,7 @@
 def test_unseen_engine_has_no_rate():
     window = PrefillRateWindow()
     assert window.rate is None
-    assert window.is_old(0)
+    assert window.is_stale(0)
 
 
 def test_prompts_of_others_that_came_before_do_not_count():
@@ -78,8 +78,8 @@
     window = record(PrefillRateWindow(), *repeat(FAST, 16))
     record(window, SLOW, from_ms=LATER_MS)
     assert window.rate == FAST
-    assert not window.is_old(LATER_MS)
-    assert window.is_old(2 * LATER_MS)
+    assert not window.is_stale(LATER_MS)
+    assert window.is_stale(2 * LATER_MS)
 
 
 def test_further_readings_are_needed_while_few_are_recent():
--- a/wingfall/gateway/knowledge/reading_window.py
+++ b/wingfall/gateway/knowledge/reading_window.py
@@ -60,7 +60,7 @@
         )
         return recent < _MIN_RECENT_SAMPLES
 
-    def is_old(self, now_ms: int) -> bool:
+    def is_stale(self, now_ms: int) -> bool:
         """Check if the engine has no recent samples.
 
         :param now_ms: the current time in milliseconds.
--- a/wingfall/gateway/knowledge/shared_rates.py
+++ b/wingfall/gateway/knowledge/shared_rates.py
@@ -278,7 +278,7 @@
             self._unreported.pop(name, None)
             shared = self._engines[name]
             shared.leave()
-            if shared.window.is_old(now_ms):
+            if shared.window.is_stale(now_ms):
                 self._engines.pop(name)
 
 
