--- a/tests/test_reading_window.py
+++ b/tests/test_reading_window.py
@@ -84,10 +84,10 @@
 
 def test_further_readings_are_needed_while_few_are_recent():
     window = record(PrefillRateWindow(), *repeat(FAST, 7))
-    assert window.needs_more(7 * STEP_MS)
+    assert window.needs_more_samples(7 * STEP_MS)
     record(window, FAST, from_ms=7 * STEP_MS)
-    assert not window.needs_more(8 * STEP_MS)
-    assert window.needs_more(LATER_MS)
+    assert not window.needs_more_samples(8 * STEP_MS)
+    assert window.needs_more_samples(LATER_MS)
 
 
 def test_belief_of_another_gateway_counts_only_without_a_reading():
--- a/wingfall/gateway/knowledge/reading_window.py
+++ b/wingfall/gateway/knowledge/reading_window.py
@@ -48,7 +48,7 @@
         """Tokens that the engine prefills per millisecond, None if unknown."""
         return self._rate
 
-    def needs_more(self, now_ms: int) -> bool:
+    def needs_more_samples(self, now_ms: int) -> bool:
         """Check if another sample should be reported to other gateways.
 
         :param now_ms: the current time in milliseconds.
--- a/wingfall/gateway/knowledge/shared_rates.py
+++ b/wingfall/gateway/knowledge/shared_rates.py
@@ -206,7 +206,7 @@
         # the rate. Under high load there are few other prompts.
         if waiting > prompt_tokens and rate <= shared.tokens_per_ms:
             return
-        if shared.window.needs_more(now_ms):
+        if shared.window.needs_more_samples(now_ms):
             unreported = self._unreported.setdefault(
                 engine, collections.deque(maxlen=_MAX_REPORTED_SAMPLES)
             )
