--- a/tests/test_shared_rates.py
+++ b/tests/test_shared_rates.py
@@ -49,7 +49,7 @@
     for engine, elapsed_ms in (('a', 100), ('b', 120), ('c', 300)):
         rates.note(engine, POOL, LONG_TOKENS, elapsed_ms)
     assert rate_of(rates, 'new') == 50
-    assert rates.of_pool(POOL).tokens_per_ms == 50
+    assert rates.pool_rate(POOL).tokens_per_ms == 50
     assert rates.find('other', 'other pool').tokens_per_ms == INITIAL_TOKENS_PER_MS
 
 
@@ -189,7 +189,7 @@
 ):
     rates.note('gone', POOL, LONG_TOKENS, FAST_MS)
     rates.retain_only({'other'})
-    assert rates.of_pool(POOL).tokens_per_ms == INITIAL_TOKENS_PER_MS
+    assert rates.pool_rate(POOL).tokens_per_ms == INITIAL_TOKENS_PER_MS
     assert not rates.take_unreported()
     manual_clock.advance(EXPIRY_MS)
     rates.retain_only({'other'})
--- a/wingfall/gateway/knowledge/engine_speeds.py
+++ b/wingfall/gateway/knowledge/engine_speeds.py
@@ -32,7 +32,7 @@
     def look(self, engine: str, pool: str) -> Rate:
         """Return the rate of an engine, or of its pool if it is unknown."""
 
-    def of_pool(self, pool: str) -> Rate:
+    def pool_rate(self, pool: str) -> Rate:
         """Return the overall rate of a pool's engines."""
 
     def note(
@@ -124,7 +124,7 @@
         :param pool: name of the pool.
         :returns: the rate.
         """
-        return self.rates.of_pool(pool)
+        return self.rates.pool_rate(pool)
 
     def note_start(
         self,
--- a/wingfall/gateway/knowledge/own_rates.py
+++ b/wingfall/gateway/knowledge/own_rates.py
@@ -33,7 +33,7 @@
         """
         rate = self._by_engine.get(engine)
         if rate is None:
-            rate = PrefillRate(tokens_per_ms=self.of_pool(pool).tokens_per_ms)
+            rate = PrefillRate(tokens_per_ms=self.pool_rate(pool).tokens_per_ms)
             self._by_engine[engine] = rate
         return rate
 
@@ -44,9 +44,9 @@
         :param pool: name of its pool.
         :returns: the rate.
         """
-        return self._by_engine.get(engine) or self.of_pool(pool)
+        return self._by_engine.get(engine) or self.pool_rate(pool)
 
-    def of_pool(self, pool: str) -> PrefillRate:
+    def pool_rate(self, pool: str) -> PrefillRate:
         """Return the average rate of a pool.
 
         :param pool: name of the pool.
@@ -75,7 +75,7 @@
         if waiting > tokens - waiting:
             return
         self.find(engine, pool).note(tokens, elapsed_ms)
-        self.of_pool(pool).note(tokens, elapsed_ms)
+        self.pool_rate(pool).note(tokens, elapsed_ms)
 
     def note_short(
         self, engine: str, pool: str, tokens: int, elapsed_ms: float
--- a/wingfall/gateway/knowledge/shared_rates.py
+++ b/wingfall/gateway/knowledge/shared_rates.py
@@ -147,7 +147,7 @@
             rate = SharedRate(engine=engine)
             self._engines[engine] = rate
         if pool:
-            rate.join(self.of_pool(pool))
+            rate.join(self.pool_rate(pool))
         return rate
 
     def look(self, engine: str, pool: str) -> SharedRate | PoolRate:
@@ -157,9 +157,9 @@
         :param pool: name of its pool.
         :returns: the rate.
         """
-        return self._engines.get(engine) or self.of_pool(pool)
+        return self._engines.get(engine) or self.pool_rate(pool)
 
-    def of_pool(self, pool: str) -> PoolRate:
+    def pool_rate(self, pool: str) -> PoolRate:
         """Return the median rate of a pool.
 
         :param pool: name of the pool.
@@ -177,7 +177,7 @@
         :param pool: name of the pool.
         :returns: milliseconds, None until there are enough samples.
         """
-        return self.of_pool(pool).fixed_start.fixed_ms
+        return self.pool_rate(pool).fixed_start.fixed_ms
 
     def note(
         self,
@@ -226,7 +226,7 @@
         """
         if tokens < MIN_SAMPLE_TOKENS:
             prefill_ms = tokens / self.find(engine, pool).tokens_per_ms
-            self.of_pool(pool).fixed_start.note(elapsed_ms - prefill_ms)
+            self.pool_rate(pool).fixed_start.note(elapsed_ms - prefill_ms)
 
     def merge_reported(self, engine: str, pool: str, rates: list[int]) -> None:
         """Merge samples that another gateway reported.
--- a/wingfall/gateway/knowledge/sized_rates.py
+++ b/wingfall/gateway/knowledge/sized_rates.py
@@ -88,13 +88,13 @@
         """
         return self._rates_of(pool).look(engine, pool)
 
-    def of_pool(self, pool: str) -> Rate:
+    def pool_rate(self, pool: str) -> Rate:
         """Return the overall rate of a pool.
 
         :param pool: name of the pool.
         :returns: the rate.
         """
-        return self._rates_of(pool).of_pool(pool)
+        return self._rates_of(pool).pool_rate(pool)
 
     def note(
         self,
