--- a/tests/test_shared_rates.py
+++ b/tests/test_shared_rates.py
@@ -236,7 +236,7 @@
     rates.note('e', POOL, LONG_TOKENS, FAST_MS)
     before = rates.find('e', POOL).tokens_per_ms
     rates.merge_reported('e', POOL, [600, -600])
-    rates.note_short('e', POOL, SHORT_TOKENS, FAST_MS)
+    rates.note_short_prefill('e', POOL, SHORT_TOKENS, FAST_MS)
     assert rates.find('e', POOL).tokens_per_ms == before
     assert rates.fixed_ms(POOL) is None
     assert not rates.take_unreported()
--- a/wingfall/gateway/knowledge/engine_speeds.py
+++ b/wingfall/gateway/knowledge/engine_speeds.py
@@ -45,7 +45,7 @@
     ) -> None:
         """Update the rates from a prompt whose answer has begun."""
 
-    def note_short(
+    def note_short_prefill(
         self, engine: str, pool: str, tokens: int, elapsed_ms: float
     ) -> None:
         """Record a prompt that is too short to measure the prefill rate."""
@@ -143,7 +143,7 @@
             event of its answer.
         :param waiting: how many of the tokens were pending before the prompt.
         """
-        self.rates.note_short(engine, pool, tokens, elapsed_ms)
+        self.rates.note_short_prefill(engine, pool, tokens, elapsed_ms)
         fixed_ms = self.rates.fixed_ms(pool)
         if fixed_ms is None:
             # The first event takes a step of its own after the prefill.
--- a/wingfall/gateway/knowledge/own_rates.py
+++ b/wingfall/gateway/knowledge/own_rates.py
@@ -77,7 +77,7 @@
         self.find(engine, pool).note(tokens, elapsed_ms)
         self.pool_rate(pool).note(tokens, elapsed_ms)
 
-    def note_short(
+    def note_short_prefill(
         self, engine: str, pool: str, tokens: int, elapsed_ms: float
     ) -> None:
         """Ignore a prompt too short for a sample.
--- a/wingfall/gateway/knowledge/shared_rates.py
+++ b/wingfall/gateway/knowledge/shared_rates.py
@@ -214,7 +214,7 @@
         shared.window.note(rate, now_ms)
         shared.note_change()
 
-    def note_short(
+    def note_short_prefill(
         self, engine: str, pool: str, tokens: int, elapsed_ms: float
     ) -> None:
         """Update the fixed overhead from a prompt too short for a sample.
--- a/wingfall/gateway/knowledge/sized_rates.py
+++ b/wingfall/gateway/knowledge/sized_rates.py
@@ -116,7 +116,7 @@
         for rates in (self._own, self._shared):
             rates.note(engine, pool, tokens, elapsed_ms, waiting)
 
-    def note_short(
+    def note_short_prefill(
         self, engine: str, pool: str, tokens: int, elapsed_ms: float
     ) -> None:
         """Update the rates from a prompt too short for a sample.
@@ -127,7 +127,7 @@
         :param elapsed_ms: milliseconds from sending it to its first event.
         """
         for rates in (self._own, self._shared):
-            rates.note_short(engine, pool, tokens, elapsed_ms)
+            rates.note_short_prefill(engine, pool, tokens, elapsed_ms)
 
     def fixed_ms(self, pool: str) -> float | None:
         """Return the fixed overhead of first events of a pool.
