--- a/tests/test_shared_rates.py
+++ b/tests/test_shared_rates.py
@@ -206,13 +206,13 @@
 
 def test_fixed_time_is_that_of_short_reads(rates: SharedRates):
     speeds = EngineSpeeds(rates=rates)
-    assert rates.fixed_ms(POOL) is None
+    assert rates.fixed_overhead_ms(POOL) is None
     rates.note('e', POOL, LONG_TOKENS, FAST_MS)
     # Each has 10 ms of its own prefill; the last two waited for others.
     for elapsed_ms in (52, 50, 51, 54, 300, 400):
         speeds.note_start('e', POOL, SHORT_TOKENS, elapsed_ms)
-    assert rates.fixed_ms(POOL) == 41
-    assert rates.fixed_ms('other pool') is None
+    assert rates.fixed_overhead_ms(POOL) == 41
+    assert rates.fixed_overhead_ms('other pool') is None
 
 
 def test_fixed_time_is_no_part_of_a_reading(rates: SharedRates):
@@ -238,7 +238,7 @@
     rates.merge_reported('e', POOL, [600, -600])
     rates.note_short_prefill('e', POOL, SHORT_TOKENS, FAST_MS)
     assert rates.find('e', POOL).tokens_per_ms == before
-    assert rates.fixed_ms(POOL) is None
+    assert rates.fixed_overhead_ms(POOL) is None
     assert not rates.take_unreported()
     assert not rates.encode_all()
 
--- a/wingfall/gateway/knowledge/engine_speeds.py
+++ b/wingfall/gateway/knowledge/engine_speeds.py
@@ -50,7 +50,7 @@
     ) -> None:
         """Record a prompt that is too short to measure the prefill rate."""
 
-    def fixed_ms(self, pool: str) -> float | None:
+    def fixed_overhead_ms(self, pool: str) -> float | None:
         """Return the fixed time of a first event, None if not measured."""
 
     def merge_reported(self, engine: str, pool: str, rates: list[int]) -> None:
@@ -144,11 +144,11 @@
         :param waiting: how many of the tokens were pending before the prompt.
         """
         self.rates.note_short_prefill(engine, pool, tokens, elapsed_ms)
-        fixed_ms = self.rates.fixed_ms(pool)
-        if fixed_ms is None:
+        fixed_overhead_ms = self.rates.fixed_overhead_ms(pool)
+        if fixed_overhead_ms is None:
             # The first event takes a step of its own after the prefill.
-            fixed_ms = self.find(engine, pool).idle_gap_ms
-        prefill_ms = elapsed_ms - fixed_ms
+            fixed_overhead_ms = self.find(engine, pool).idle_gap_ms
+        prefill_ms = elapsed_ms - fixed_overhead_ms
         self.rates.note(engine, pool, tokens, prefill_ms, waiting)
 
     def retain_only(self, names: set[str]) -> None:
--- a/wingfall/gateway/knowledge/fixed_start.py
+++ b/wingfall/gateway/knowledge/fixed_start.py
@@ -38,7 +38,7 @@
         )
 
     @property
-    def fixed_ms(self) -> float | None:
+    def fixed_overhead_ms(self) -> float | None:
         """The overhead in milliseconds, None until it is known."""
         if len(self._samples_ms) < _MIN_SAMPLES:
             return None
--- a/wingfall/gateway/knowledge/own_rates.py
+++ b/wingfall/gateway/knowledge/own_rates.py
@@ -88,7 +88,7 @@
         :param elapsed_ms: milliseconds from sending it to its first event.
         """
 
-    def fixed_ms(self, pool: str) -> None:
+    def fixed_overhead_ms(self, pool: str) -> None:
         """Return no fixed overhead.
 
         :param pool: name of the pool.
--- a/wingfall/gateway/knowledge/shared_rates.py
+++ b/wingfall/gateway/knowledge/shared_rates.py
@@ -171,13 +171,13 @@
             self._pools[pool] = rate
         return rate
 
-    def fixed_ms(self, pool: str) -> float | None:
+    def fixed_overhead_ms(self, pool: str) -> float | None:
         """Return the fixed overhead of first events of a pool.
 
         :param pool: name of the pool.
         :returns: milliseconds, None until there are enough samples.
         """
-        return self.pool_rate(pool).fixed_start.fixed_ms
+        return self.pool_rate(pool).fixed_start.fixed_overhead_ms
 
     def note(
         self,
--- a/wingfall/gateway/knowledge/sized_rates.py
+++ b/wingfall/gateway/knowledge/sized_rates.py
@@ -129,13 +129,13 @@
         for rates in (self._own, self._shared):
             rates.note_short_prefill(engine, pool, tokens, elapsed_ms)
 
-    def fixed_ms(self, pool: str) -> float | None:
+    def fixed_overhead_ms(self, pool: str) -> float | None:
         """Return the fixed overhead of first events of a pool.
 
         :param pool: name of the pool.
         :returns: milliseconds, None if it is unknown.
         """
-        return self._rates_of(pool).fixed_ms(pool)
+        return self._rates_of(pool).fixed_overhead_ms(pool)
 
     def merge_reported(self, engine: str, pool: str, rates: list[int]) -> None:
         """Merge samples that another gateway reported.
