--- a/tests/load_replay.py
+++ b/tests/load_replay.py
@@ -242,7 +242,7 @@
         self.knowledge = EndpointKnowledge(
             clock=clock,
             rates=rates,
-            start_estimates=starts(fixed_time=rates.fixed_overhead_ms),
+            start_estimates=starts(get_fixed_overhead_ms=rates.fixed_overhead_ms),
             full_gaps=FullGaps(clock=clock, reports_gaps=True),
         )
         self.session = SimpleNamespace(name=name, zone='a')
--- a/tests/test_start_estimates.py
+++ b/tests/test_start_estimates.py
@@ -18,7 +18,7 @@
 @pytest.fixture
 def starts() -> CorrectedEstimates:
     """Return estimates for a pool whose fixed overhead is known."""
-    return CorrectedEstimates(fixed_time={POOL: OVERHEAD_MS}.get)
+    return CorrectedEstimates(get_fixed_overhead_ms={POOL: OVERHEAD_MS}.get)
 
 
 def note_all(
--- a/wingfall/gateway/assembly.py
+++ b/wingfall/gateway/assembly.py
@@ -60,7 +60,7 @@
         clock=clock,
         name=settings.name,
         rates=rates,
-        start_estimates=policies.start_estimates(fixed_time=rates.fixed_overhead_ms),
+        start_estimates=policies.start_estimates(get_fixed_overhead_ms=rates.fixed_overhead_ms),
         full_gaps=FullGaps(
             clock=clock,
             reports_gaps=policies.engine_groups is not reserve_none,
--- a/wingfall/gateway/knowledge/start_estimates.py
+++ b/wingfall/gateway/knowledge/start_estimates.py
@@ -66,12 +66,12 @@
 
     __slots__ = ('_error_ratios', '_get_overhead_ms')
 
-    def __init__(self, *, fixed_time: FixedTime = know_nothing) -> None:
+    def __init__(self, *, get_fixed_overhead_ms: FixedTime = know_nothing) -> None:
         """Create estimates without samples.
 
-        :param fixed_time: returns the fixed overhead of a pool.
+        :param get_fixed_overhead_ms: returns the fixed overhead of a pool.
         """
-        self._get_overhead_ms = fixed_time
+        self._get_overhead_ms = get_fixed_overhead_ms
         # Ratios of actual to estimated times, the newest last.
         self._error_ratios: dict[_PoolTier, collections.deque[float]] = {}
 
@@ -130,12 +130,12 @@
 
     __slots__ = ('_factors', '_ratios')
 
-    def __init__(self, *, fixed_time: FixedTime = know_nothing) -> None:
+    def __init__(self, *, get_fixed_overhead_ms: FixedTime = know_nothing) -> None:
         """Create estimates without corrections.
 
-        :param fixed_time: returns the fixed overhead of a pool.
+        :param get_fixed_overhead_ms: returns the fixed overhead of a pool.
         """
-        super().__init__(fixed_time=fixed_time)
+        super().__init__(get_fixed_overhead_ms=get_fixed_overhead_ms)
         # Ratios of actual times to uncorrected estimates with the overhead.
         self._ratios: dict[_PoolTier, collections.deque[float]] = {}
         # Bounded median ratios, by which estimates are multiplied.
@@ -185,7 +185,7 @@
 class StartEstimatesFactory(Protocol):
     """Creates estimates of first events."""
 
-    def __call__(self, *, fixed_time: FixedTime) -> StartEstimates:
+    def __call__(self, *, get_fixed_overhead_ms: FixedTime) -> StartEstimates:
         """Create estimates without samples."""
 
 
