--- a/wingfall/gateway/knowledge/shared_rates.py
+++ b/wingfall/gateway/knowledge/shared_rates.py
@@ -17,7 +17,7 @@
     MIN_SAMPLE_TOKENS,
     MIN_TOKENS_PER_MS,
 )
-from wingfall.gateway.knowledge.fixed_start import FixedStart
+from wingfall.gateway.knowledge.fixed_overhead import FixedStart
 from wingfall.gateway.knowledge.reading_window import PrefillRateWindow
 
 if TYPE_CHECKING:
@@ -35,14 +35,14 @@
 class PoolRate:
     """The median prefill rate of a pool and its fixed overhead."""
 
-    __slots__ = ('_median', '_windows', 'fixed_start')
+    __slots__ = ('_median', '_windows', 'fixed_overhead')
 
     def __init__(self) -> None:
         """Create the rate of a pool without engines."""
         self._windows: dict[str, PrefillRateWindow] = {}
         # Tokens per millisecond, None if it must be recomputed.
         self._median: float | None = None
-        self.fixed_start = FixedStart()
+        self.fixed_overhead = FixedStart()
 
     @property
     def tokens_per_ms(self) -> float:
@@ -177,7 +177,7 @@
         :param pool: name of the pool.
         :returns: milliseconds, None until there are enough samples.
         """
-        return self.pool_rate(pool).fixed_start.fixed_overhead_ms
+        return self.pool_rate(pool).fixed_overhead.fixed_overhead_ms
 
     def note(
         self,
@@ -226,7 +226,7 @@
         """
         if tokens < MIN_SAMPLE_TOKENS:
             prefill_ms = tokens / self.find(engine, pool).tokens_per_ms
-            self.pool_rate(pool).fixed_start.note(elapsed_ms - prefill_ms)
+            self.pool_rate(pool).fixed_overhead.note(elapsed_ms - prefill_ms)
 
     def merge_reported(self, engine: str, pool: str, rates: list[int]) -> None:
         """Merge samples that another gateway reported.
