--- a/wingfall/gateway/knowledge/fixed_start.py
+++ b/wingfall/gateway/knowledge/fixed_start.py
@@ -26,7 +26,7 @@
 
 
 @final
-class FixedStart:
+class FixedOverhead:
     """The fixed overhead of a pool's first events."""
 
     __slots__ = ('_samples_ms',)
--- a/wingfall/gateway/knowledge/shared_rates.py
+++ b/wingfall/gateway/knowledge/shared_rates.py
@@ -17,7 +17,7 @@
     MIN_SAMPLE_TOKENS,
     MIN_TOKENS_PER_MS,
 )
-from wingfall.gateway.knowledge.fixed_overhead import FixedStart
+from wingfall.gateway.knowledge.fixed_overhead import FixedOverhead
 from wingfall.gateway.knowledge.reading_window import PrefillRateWindow
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
         self._windows: dict[str, PrefillRateWindow] = {}
         # Tokens per millisecond, None if it must be recomputed.
         self._median: float | None = None
-        self.fixed_overhead = FixedStart()
+        self.fixed_overhead = FixedOverhead()
 
     @property
     def tokens_per_ms(self) -> float:
