--- a/wingfall/gateway/knowledge/start_estimates.py
+++ b/wingfall/gateway/knowledge/start_estimates.py
@@ -35,7 +35,7 @@
 _PoolTier: TypeAlias = tuple[str, int]
 # Returns the fixed overhead of a pool's first events in milliseconds, None if
 # it is unknown.
-FixedTime: TypeAlias = Callable[[str], 'float | None']
+FixedOverheadGetter: TypeAlias = Callable[[str], 'float | None']
 
 
 def know_nothing(pool: str) -> None:
@@ -66,7 +66,7 @@
 
     __slots__ = ('_error_ratios', '_get_overhead_ms')
 
-    def __init__(self, *, get_fixed_overhead_ms: FixedTime = know_nothing) -> None:
+    def __init__(self, *, get_fixed_overhead_ms: FixedOverheadGetter = know_nothing) -> None:
         """Create estimates without samples.
 
         :param get_fixed_overhead_ms: returns the fixed overhead of a pool.
@@ -130,7 +130,7 @@
 
     __slots__ = ('_factors', '_ratios')
 
-    def __init__(self, *, get_fixed_overhead_ms: FixedTime = know_nothing) -> None:
+    def __init__(self, *, get_fixed_overhead_ms: FixedOverheadGetter = know_nothing) -> None:
         """Create estimates without corrections.
 
         :param get_fixed_overhead_ms: returns the fixed overhead of a pool.
@@ -185,7 +185,7 @@
 class StartEstimatesFactory(Protocol):
     """Creates estimates of first events."""
 
-    def __call__(self, *, get_fixed_overhead_ms: FixedTime) -> StartEstimates:
+    def __call__(self, *, get_fixed_overhead_ms: FixedOverheadGetter) -> StartEstimates:
         """Create estimates without samples."""
 
 
