--- a/wingfall/gateway/knowledge/start_estimates.py
+++ b/wingfall/gateway/knowledge/start_estimates.py
@@ -38,7 +38,7 @@
 FixedOverheadGetter: TypeAlias = Callable[[str], 'float | None']
 
 
-def know_nothing(pool: str) -> None:
+def no_fixed_overhead(pool: str) -> None:
     """Return no fixed overhead.
 
     :param pool: name of the pool.
@@ -66,7 +66,7 @@
 
     __slots__ = ('_error_ratios', '_get_overhead_ms')
 
-    def __init__(self, *, get_fixed_overhead_ms: FixedOverheadGetter = know_nothing) -> None:
+    def __init__(self, *, get_fixed_overhead_ms: FixedOverheadGetter = no_fixed_overhead) -> None:
         """Create estimates without samples.
 
         :param get_fixed_overhead_ms: returns the fixed overhead of a pool.
@@ -130,7 +130,7 @@
 
     __slots__ = ('_factors', '_ratios')
 
-    def __init__(self, *, get_fixed_overhead_ms: FixedOverheadGetter = know_nothing) -> None:
+    def __init__(self, *, get_fixed_overhead_ms: FixedOverheadGetter = no_fixed_overhead) -> None:
         """Create estimates without corrections.
 
         :param get_fixed_overhead_ms: returns the fixed overhead of a pool.
