--- a/wingfall/gateway/knowledge/endpoint_knowledge.py
+++ b/wingfall/gateway/knowledge/endpoint_knowledge.py
@@ -121,7 +121,7 @@
             rates = SizedRates(
                 own=OwnRates(),
                 shared=rates,
-                is_together=self.judges_together,
+                is_shared_pool=self.judges_together,
             )
         self.speeds = EngineSpeeds(rates=rates, full_gaps=self.full_gaps)
         # Errors of first event estimates, from first events received.
--- a/wingfall/gateway/knowledge/sized_rates.py
+++ b/wingfall/gateway/knowledge/sized_rates.py
@@ -47,17 +47,17 @@
         *,
         own: Rates,
         shared: Rates,
-        is_together: Callable[[str], bool],
+        is_shared_pool: Callable[[str], bool],
     ) -> None:
         """Create rates from both kinds.
 
         :param own: rates that this gateway estimates by itself.
         :param shared: rates that gateways share.
-        :param is_together: returns whether a pool uses the shared rates.
+        :param is_shared_pool: returns whether a pool uses the shared rates.
         """
         self._own = own
         self._shared = shared
-        self._is_shared_pool = is_together
+        self._is_shared_pool = is_shared_pool
         self._by_engine: dict[str, SizedRate] = {}
 
     def find(self, engine: str, pool: str) -> SizedRate:
