--- a/tests/test_fair_admission.py
+++ b/tests/test_fair_admission.py
@@ -16,7 +16,7 @@
 from wingfall.gateway.calls.destination import Destination, choose_among
 from wingfall.gateway.knowledge.customer_work import Work
 from wingfall.gateway.knowledge.load import EndpointLoad
-from wingfall.gateway.knowledge.start_estimates import StartError
+from wingfall.gateway.knowledge.start_estimates import StartErrorStats
 from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 from wingfall.gateway.model.prompt import Prompt, PromptPart
 from wingfall.gateway.rules.admission.early_refusal import (
@@ -92,7 +92,7 @@
 
 
 def test_bound_is_met_by_three_in_four_starts():
-    error = StartError(median=0.5, worst_tenth=0.72)
+    error = StartErrorStats(median=0.5, worst_tenth=0.72)
     margin = start_margin(error)
     assert margin == pytest.approx(1.2)
     assert is_admitted(TARGET_MS / margin, margin=margin)
@@ -102,7 +102,7 @@
 
 def test_margin_is_bounded_and_none_before_anything_was_learned():
     assert start_margin(None) == 1
-    max_margin = start_margin(StartError(median=0.1, worst_tenth=9))
+    max_margin = start_margin(StartErrorStats(median=0.1, worst_tenth=9))
     assert max_margin == pytest.approx(1.5)
 
 
--- a/wingfall/gateway/knowledge/start_estimates.py
+++ b/wingfall/gateway/knowledge/start_estimates.py
@@ -46,7 +46,7 @@
 
 
 @final
-class StartError:
+class StartErrorStats:
     """Error statistics of the estimates of a pool and tier."""
 
     __slots__ = ('median', 'worst_tenth')
@@ -76,14 +76,14 @@
         self._error_ratios: dict[_PoolTier, collections.deque[float]] = {}
 
     @property
-    def errors(self) -> dict[_PoolTier, StartError]:
+    def errors(self) -> dict[_PoolTier, StartErrorStats]:
         """Error statistics of the estimates, by pool and tier."""
         return {
             key: _summarize(ratios)
             for key, ratios in self._error_ratios.items()
         }
 
-    def error(self, pool: str, tier: int) -> StartError | None:
+    def error(self, pool: str, tier: int) -> StartErrorStats | None:
         """Return the error statistics of a pool and tier.
 
         :param pool: name of the pool.
@@ -189,8 +189,8 @@
         """Create estimates without samples."""
 
 
-def _summarize(ratios: Collection[float]) -> StartError:
-    return StartError(
+def _summarize(ratios: Collection[float]) -> StartErrorStats:
+    return StartErrorStats(
         median=quantile(ratios, _MEDIAN_QUANTILE),
         worst_tenth=quantile(ratios, _WORST_TENTH_QUANTILE),
     )
--- a/wingfall/gateway/rules/admission/early_refusal.py
+++ b/wingfall/gateway/rules/admission/early_refusal.py
@@ -17,7 +17,7 @@
 from wingfall.registry import Registry
 
 if TYPE_CHECKING:
-    from wingfall.gateway.knowledge.start_estimates import StartError
+    from wingfall.gateway.knowledge.start_estimates import StartErrorStats
 
 # Fraction of the caller's remaining time after which a prompt of the most
 # urgent tier is refused: no tier precedes it, and prompts of lower tiers that
@@ -227,7 +227,7 @@
     return 'no_room'
 
 
-def start_margin(error: StartError | None) -> float:
+def start_margin(error: StartErrorStats | None) -> float:
     """Return the factor on estimates that three in four starts do not exceed.
 
     Half of all starts are later than their estimate. A bound on the estimate
