--- a/wingfall/gateway/knowledge/sized_rates.py
+++ b/wingfall/gateway/knowledge/sized_rates.py
@@ -15,7 +15,7 @@
 
 
 @final
-class SizedRate:
+class SelectedRate:
     """The rate of an engine, of the kind that its pool uses at present."""
 
     __slots__ = ('_rates', 'engine', 'pool')
@@ -58,9 +58,9 @@
         self._own = own
         self._shared = shared
         self._is_shared_pool = is_shared_pool
-        self._by_engine: dict[str, SizedRate] = {}
+        self._by_engine: dict[str, SelectedRate] = {}
 
-    def find(self, engine: str, pool: str) -> SizedRate:
+    def find(self, engine: str, pool: str) -> SelectedRate:
         """Return the rate of an engine, created if it is missing.
 
         An engine may be known before it is listed, so that its pool is set by
@@ -74,7 +74,7 @@
         self._shared.find(engine, pool)
         rate = self._by_engine.get(engine)
         if rate is None:
-            rate = SizedRate(rates=self, engine=engine)
+            rate = SelectedRate(rates=self, engine=engine)
             self._by_engine[engine] = rate
         rate.pool = pool or rate.pool
         return rate
