--- a/wingfall/gateway/knowledge/endpoint_knowledge.py
+++ b/wingfall/gateway/knowledge/endpoint_knowledge.py
@@ -20,7 +20,7 @@
 from wingfall.gateway.knowledge.long_reads import SHORT_PREFILL_TOKENS, LongPrefills
 from wingfall.gateway.knowledge.own_rates import OwnRates
 from wingfall.gateway.knowledge.prefix_caches import PrefixCaches
-from wingfall.gateway.knowledge.sized_rates import SizedRates
+from wingfall.gateway.knowledge.sized_rates import SelectedRates
 from wingfall.gateway.knowledge.start_estimates import StartEstimates
 
 if TYPE_CHECKING:
@@ -118,7 +118,7 @@
         self.full_gaps = full_gaps or FullGaps(clock=clock)
         # Prefill rates and answer speeds, measured at streams.
         if rates is not None and (large_pool or short_gap_ms):
-            rates = SizedRates(
+            rates = SelectedRates(
                 own=OwnRates(),
                 shared=rates,
                 is_shared_pool=self.judges_together,
--- a/wingfall/gateway/knowledge/sized_rates.py
+++ b/wingfall/gateway/knowledge/sized_rates.py
@@ -20,7 +20,7 @@
 
     __slots__ = ('_rates', 'engine', 'pool')
 
-    def __init__(self, *, rates: SizedRates, engine: str) -> None:
+    def __init__(self, *, rates: SelectedRates, engine: str) -> None:
         """Create the rate of an engine without a pool.
 
         :param rates: the rates of all engines.
@@ -37,7 +37,7 @@
 
 
 @final
-class SizedRates:
+class SelectedRates:
     """Rates that are local or shared, selected for each pool."""
 
     __slots__ = ('_by_engine', '_is_shared_pool', '_shared', '_own')
