--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -16,7 +16,7 @@
 from wingfall.gateway.rules.pacing.rate_share import ShareTerms
 from wingfall.gateway.rules.pacing.rest_return import (
     RETURN_RATE,
-    RestReturn,
+    RampUp,
     draw_part,
 )
 
@@ -80,7 +80,7 @@
         # When gateways disconnected that had not announced a stop.
         self._silent_since_ms: dict[str, int] = {}
         self._token_buckets: dict[str, TokenBucket] = {}
-        self._ramp_ups: dict[str, RestReturn] = {}
+        self._ramp_ups: dict[str, RampUp] = {}
         # Limit and share of this gateway by endpoint, cleared whenever the set
         # of gateways changes.
         self._shares: dict[str, tuple[float, float]] = {}
@@ -256,14 +256,14 @@
         bucket.update_rate(share, now_ms)
         return bucket
 
-    def _ramp_up(self, endpoint: str, now_ms: int) -> RestReturn | None:
+    def _ramp_up(self, endpoint: str, now_ms: int) -> RampUp | None:
         until_ms = self._signals.rests.until_ms.get(endpoint)
         if until_ms is None:
             return None
         ramp_up = self._ramp_ups.get(endpoint)
         if ramp_up is None or ramp_up.until_ms != until_ms:
             jitter = draw_part(self._name, endpoint)
-            ramp_up = RestReturn(until_ms=until_ms, jitter=jitter)
+            ramp_up = RampUp(until_ms=until_ms, jitter=jitter)
             self._ramp_ups[endpoint] = ramp_up
         return None if ramp_up.is_over(now_ms) else ramp_up
 
--- a/wingfall/gateway/rules/pacing/rest_return.py
+++ b/wingfall/gateway/rules/pacing/rest_return.py
@@ -36,7 +36,7 @@
 
 
 @final
-class RestReturn:
+class RampUp:
     """The ramp-up of requests to one endpoint after one rest."""
 
     __slots__ = ('_bucket', 'start_ms', 'until_ms')
