--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -15,7 +15,7 @@
 from wingfall.gateway.rules.pacing.pace import TokenBucket
 from wingfall.gateway.rules.pacing.rate_share import ShareTerms
 from wingfall.gateway.rules.pacing.rest_return import (
-    RETURN_RATE,
+    RAMP_UP_RATE,
     RampUp,
     draw_part,
 )
@@ -179,7 +179,7 @@
         """
         limit = self._signals.limits.get(endpoint)
         if limit is None or limit.rate is None:
-            return RETURN_RATE * len(self._gateways)
+            return RAMP_UP_RATE * len(self._gateways)
         return max(_MIN_REQUESTS_PER_S, limit.rate)
 
     def opens_in_ms(self, endpoint: str) -> float:
--- a/wingfall/gateway/rules/pacing/rest_return.py
+++ b/wingfall/gateway/rules/pacing/rest_return.py
@@ -17,7 +17,7 @@
 _MAX_JITTER_MS: Final = 250
 # Requests per second that a gateway sends during the ramp-up, and the duration
 # of the ramp-up in milliseconds.
-RETURN_RATE: Final = 5
+RAMP_UP_RATE: Final = 5
 _RAMP_UP_MS: Final = 1000
 # Size of the hash from which a gateway's jitter is computed.
 _HASH_BYTES: Final = 4
@@ -50,8 +50,8 @@
         self.until_ms = until_ms
         # Time at which the first request may be sent.
         self.start_ms = until_ms + int(jitter * _MAX_JITTER_MS)
-        refill_start_ms = self.start_ms - MS_PER_S // RETURN_RATE
-        self._bucket = TokenBucket(rate=RETURN_RATE, now_ms=refill_start_ms)
+        refill_start_ms = self.start_ms - MS_PER_S // RAMP_UP_RATE
+        self._bucket = TokenBucket(rate=RAMP_UP_RATE, now_ms=refill_start_ms)
 
     def is_over(self, now_ms: int) -> bool:
         """Check if the ramp-up has ended.
