--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -17,7 +17,7 @@
 from wingfall.gateway.rules.pacing.rest_return import (
     RAMP_UP_RATE,
     RampUp,
-    draw_part,
+    compute_jitter,
 )
 
 if TYPE_CHECKING:
@@ -262,7 +262,7 @@
             return None
         ramp_up = self._ramp_ups.get(endpoint)
         if ramp_up is None or ramp_up.until_ms != until_ms:
-            jitter = draw_part(self._name, endpoint)
+            jitter = compute_jitter(self._name, endpoint)
             ramp_up = RampUp(until_ms=until_ms, jitter=jitter)
             self._ramp_ups[endpoint] = ramp_up
         return None if ramp_up.is_over(now_ms) else ramp_up
@@ -273,7 +273,7 @@
         limit: EndpointLimit,
         now_ms: int,
     ) -> bool:
-        jitter = draw_part(self._name, endpoint)
+        jitter = compute_jitter(self._name, endpoint)
         if now_ms < limit.received_ms + jitter * _RETURN_SPREAD_MS:
             return True
         self._token_buckets.pop(endpoint, None)
--- a/wingfall/gateway/rules/pacing/rest_return.py
+++ b/wingfall/gateway/rules/pacing/rest_return.py
@@ -23,7 +23,7 @@
 _HASH_BYTES: Final = 4
 
 
-def draw_part(gateway: str, endpoint: str) -> float:
+def compute_jitter(gateway: str, endpoint: str) -> float:
     """Return a gateway's jitter for an endpoint.
 
     :param gateway: name of the gateway.
