--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -265,7 +265,7 @@
             jitter = compute_jitter(self._name, endpoint)
             ramp_up = RampUp(until_ms=until_ms, jitter=jitter)
             self._ramp_ups[endpoint] = ramp_up
-        return None if ramp_up.is_over(now_ms) else ramp_up
+        return None if ramp_up.is_complete(now_ms) else ramp_up
 
     def _is_returning(
         self,
--- a/wingfall/gateway/rules/pacing/rest_return.py
+++ b/wingfall/gateway/rules/pacing/rest_return.py
@@ -53,7 +53,7 @@
         refill_start_ms = self.start_ms - MS_PER_S // RAMP_UP_RATE
         self._bucket = TokenBucket(rate=RAMP_UP_RATE, now_ms=refill_start_ms)
 
-    def is_over(self, now_ms: int) -> bool:
+    def is_complete(self, now_ms: int) -> bool:
         """Check if the ramp-up has ended.
 
         :param now_ms: current time in milliseconds.
