--- a/tests/rate_world.py
+++ b/tests/rate_world.py
@@ -225,7 +225,7 @@
         for _due_ms, name, peer in due:
             limit = self.gateways[name].signals.limits.get(ENDPOINT)
             if limit is not None:
-                self.gateways[peer].signals.take_limit(ENDPOINT, limit)
+                self.gateways[peer].signals.merge_limit(ENDPOINT, limit)
 
     def _update_peers(self, now_ms: int) -> None:
         visible = [
--- a/tests/test_endpoint_signals.py
+++ b/tests/test_endpoint_signals.py
@@ -90,7 +90,7 @@
     one.note_answer(ENDPOINT, AnswerSignals(rate=2, leaving=True), 900)
     assert one.recent_digest != other.recent_digest
     assert one.take_unreported() == {ENDPOINT}
-    other.take_limit(ENDPOINT, one.limits[ENDPOINT])
+    other.merge_limit(ENDPOINT, one.limits[ENDPOINT])
     other.take_leaving(ENDPOINT, one.leaving[ENDPOINT])
     assert one.recent_digest == other.recent_digest
     assert not other.take_unreported()
--- a/wingfall/gateway/knowledge/endpoint_signals.py
+++ b/wingfall/gateway/knowledge/endpoint_signals.py
@@ -145,7 +145,7 @@
             changes.append(SignalChange.rest)
         return changes
 
-    def take_limit(self, endpoint: str, reported: EndpointLimit) -> None:
+    def merge_limit(self, endpoint: str, reported: EndpointLimit) -> None:
         """Merge a limit, or its end, that a peer reported.
 
         :param endpoint: name of the endpoint.
--- a/wingfall/gateway/peers/signal_exchange.py
+++ b/wingfall/gateway/peers/signal_exchange.py
@@ -124,7 +124,7 @@
         """
         now_ms = self._clock.now_ms()
         for endpoint, *encoded in updates.limits:
-            self._signals.take_limit(endpoint, _decode_limit(encoded, now_ms))
+            self._signals.merge_limit(endpoint, _decode_limit(encoded, now_ms))
         for endpoint, age_ms, reported_by in updates.leavings:
             leaving = EndpointLeaving(received_ms=now_ms - age_ms, reported_by=reported_by)
             self._signals.take_leaving(endpoint, leaving)
