--- a/tests/test_endpoint_signals.py
+++ b/tests/test_endpoint_signals.py
@@ -91,7 +91,7 @@
     assert one.recent_digest != other.recent_digest
     assert one.take_unreported() == {ENDPOINT}
     other.merge_limit(ENDPOINT, one.limits[ENDPOINT])
-    other.take_leaving(ENDPOINT, one.leaving[ENDPOINT])
+    other.merge_leaving(ENDPOINT, one.leaving[ENDPOINT])
     assert one.recent_digest == other.recent_digest
     assert not other.take_unreported()
 
--- a/wingfall/gateway/knowledge/endpoint_signals.py
+++ b/wingfall/gateway/knowledge/endpoint_signals.py
@@ -156,7 +156,7 @@
         # the limit may arrive after it.
         self._merge_limit(endpoint, reported)
 
-    def take_leaving(self, endpoint: str, reported: EndpointLeaving) -> None:
+    def merge_leaving(self, endpoint: str, reported: EndpointLeaving) -> None:
         """Merge a leaving signal that a peer reported.
 
         :param endpoint: name of the endpoint.
--- a/wingfall/gateway/peers/signal_exchange.py
+++ b/wingfall/gateway/peers/signal_exchange.py
@@ -127,7 +127,7 @@
             self._signals.merge_limit(endpoint, _decode_limit(encoded, now_ms))
         for endpoint, age_ms, reported_by in updates.leavings:
             leaving = EndpointLeaving(received_ms=now_ms - age_ms, reported_by=reported_by)
-            self._signals.take_leaving(endpoint, leaving)
+            self._signals.merge_leaving(endpoint, leaving)
         self._anti_entropy.note_state(self._signals.recent_digest)
 
     def _encode(self, endpoints: Iterable[str]) -> SignalUpdates:
