--- a/wingfall/gateway/knowledge/endpoint_signals.py
+++ b/wingfall/gateway/knowledge/endpoint_signals.py
@@ -14,7 +14,7 @@
 from gevent.event import Event
 
 from wingfall.gateway.knowledge.endpoint_rests import EndpointRests
-from wingfall.gateway.knowledge.signal_faults import SignalFaults
+from wingfall.gateway.knowledge.signal_faults import SignalFaultLog
 from wingfall.gateway.model.endpoint_leaving import EndpointLeaving
 from wingfall.gateway.model.endpoint_limit import EndpointLimit, choose_newer
 from wingfall.gateway.model.signal_change import SignalChange
@@ -69,7 +69,7 @@
         self._leaving: dict[str, EndpointLeaving] = {}
         # Endpoints whose newest signals have not been reported to peers.
         self._unreported: set[str] = set()
-        self._faults = SignalFaults(clock=clock)
+        self._faults = SignalFaultLog(clock=clock)
         # Cached digest, None after a change.
         self._digest: int | None = None
         self._digest_ms = 0
--- a/wingfall/gateway/knowledge/signal_faults.py
+++ b/wingfall/gateway/knowledge/signal_faults.py
@@ -17,7 +17,7 @@
 
 
 @final
-class SignalFaults:
+class SignalFaultLog:
     """The time of the last logged fault of each endpoint."""
 
     __slots__ = ('_clock', '_logged_ms')
