--- a/tests/test_endpoint_health.py
+++ b/tests/test_endpoint_health.py
@@ -63,9 +63,9 @@
     for _failure in range(6):
         reporter.note_failure('one')
     reporter.note_success('one')
-    unreported = reporter.take_unsent()
+    unreported = reporter.take_unreported()
     assert (unreported['one'].failed, unreported['one'].served) == (6, 1)
-    assert not reporter.take_unsent()
+    assert not reporter.take_unreported()
     receiver.merge_from_peer('one', unreported['one'])
     assert reporter.failure_rate('one') > receiver.failure_rate('one')
     assert round(receiver.failure_rate('one') * 10) == 4
@@ -84,4 +84,4 @@
 def test_what_is_heard_is_not_told_again(clock: ManualClock):
     health = EndpointHealth(clock=clock)
     health.merge_from_peer('one', Outcomes(failed=3))
-    assert not health.take_unsent()
+    assert not health.take_unreported()
--- a/tests/test_memory_survey.py
+++ b/tests/test_memory_survey.py
@@ -53,7 +53,7 @@
         for number in range(MAX_REPORTED_PARTS + 10)
     )
     caches.note_cached('e1', parts)
-    (report,) = caches.take_unsent()
+    (report,) = caches.take_unreported()
     assert report.endpoint == 'e1'
     assert report.parts == parts[-MAX_REPORTED_PARTS:]
     assert caches.find('e1').cached_tokens(parts) == len(parts)
--- a/wingfall/gateway/knowledge/endpoint_health.py
+++ b/wingfall/gateway/knowledge/endpoint_health.py
@@ -119,7 +119,7 @@
         record.until_ms = self._clock.now_ms() + record.eject_ms
         record.eject_ms = min(_MAX_EJECTION_MS, record.eject_ms * 2)
 
-    def take_unsent(self) -> dict[str, Outcomes]:
+    def take_unreported(self) -> dict[str, Outcomes]:
         """Return and clear the outcomes not yet reported to peers.
 
         :returns: outcomes since the last call, by endpoint.
--- a/wingfall/gateway/knowledge/prefix_caches.py
+++ b/wingfall/gateway/knowledge/prefix_caches.py
@@ -127,7 +127,7 @@
             SentPrompt(endpoint=endpoint, parts=reported, uncached_tokens=0)
         )
 
-    def take_unsent(self) -> list[SentPrompt]:
+    def take_unreported(self) -> list[SentPrompt]:
         """Return and clear the prompts not yet reported to peers.
 
         :returns: prompts recorded since the last call.
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -126,8 +126,8 @@
 
         :returns: the entries of a heartbeat.
         """
-        sent = self._knowledge.caches.take_unsent()
-        outcomes = self._knowledge.health.take_unsent()
+        sent = self._knowledge.caches.take_unreported()
+        outcomes = self._knowledge.health.take_unreported()
         activity = Activity(
             sent=[encode_sent_prompt(each) for each in sent],
             outcomes=encode_outcomes(outcomes),
