--- a/tests/test_endpoint_health.py
+++ b/tests/test_endpoint_health.py
@@ -13,21 +13,21 @@
 ):
     health = EndpointHealth(clock=clock)
     health.note_unreachable('one')
-    assert health.is_out('one')
+    assert health.is_ejected('one')
     clock.advance(500)
-    assert not health.is_out('one')
+    assert not health.is_ejected('one')
     health.note_unreachable('one')
     clock.advance(500)
-    assert health.is_out('one')
+    assert health.is_ejected('one')
     clock.advance(500)
-    assert not health.is_out('one')
+    assert not health.is_ejected('one')
 
 
 def test_success_ends_it(clock: ManualClock):
     health = EndpointHealth(clock=clock)
     health.note_unreachable('one')
     health.note_success('one')
-    assert not health.is_out('one')
+    assert not health.is_ejected('one')
 
 
 def test_failures_add_up_and_fade(clock: ManualClock):
@@ -45,7 +45,7 @@
     health = EndpointHealth(clock=clock)
     health.note_unreachable('one')
     health.retain_only(set())
-    assert not health.is_out('one')
+    assert not health.is_ejected('one')
 
 
 def test_success_long_after_does_not_revive_failures(clock: ManualClock):
--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -182,7 +182,7 @@
     'failures': (
         add_failures,
         lambda known, name: (
-            known.health.failure_rate(name) or known.health.is_out(name)
+            known.health.failure_rate(name) or known.health.is_ejected(name)
         ),
     ),
     'long reads': (
--- a/wingfall/gateway/calls/open_endpoints.py
+++ b/wingfall/gateway/calls/open_endpoints.py
@@ -59,7 +59,7 @@
     :param avoided: names of the endpoints of earlier attempts.
     :returns: a sample of a large pool; empty if no endpoint is left.
     """
-    is_ejected = state.knowledge.health.is_out
+    is_ejected = state.knowledge.health.is_ejected
     is_withheld = _withheld_check(state, call, pool)
     usable = _list_group_endpoints(state, call, pool, avoided)
     prompt = call.head.prompt
@@ -85,7 +85,7 @@
     :param pool: name of the call's pool.
     :returns: endpoints that are neither ejected nor withheld.
     """
-    is_ejected = state.knowledge.health.is_out
+    is_ejected = state.knowledge.health.is_ejected
     is_withheld = _withheld_check(state, call, pool)
     return list_available(
         _list_group_endpoints(state, call, pool, set()),
@@ -100,7 +100,7 @@
     pool: str,
     avoided: set[str],
 ) -> list[PoolEndpoint]:
-    is_ejected = state.knowledge.health.is_out
+    is_ejected = state.knowledge.health.is_ejected
     is_withheld = _withheld_check(state, call, pool)
     return narrow_to_group(
         state,
--- a/wingfall/gateway/calls/stream_continuation.py
+++ b/wingfall/gateway/calls/stream_continuation.py
@@ -73,7 +73,7 @@
     listed = state.knowledge.table.find(backup.name)
     if listed is None or listed.draining:
         return None
-    if state.knowledge.health.is_out(backup.name):
+    if state.knowledge.health.is_ejected(backup.name):
         return None
     if state.gate.why_held(backup.name) is not None:
         return None
--- a/wingfall/gateway/knowledge/endpoint_health.py
+++ b/wingfall/gateway/knowledge/endpoint_health.py
@@ -143,7 +143,7 @@
             record, share, 1 - (1 - _PEER_OUTCOME_WEIGHT) ** count
         )
 
-    def is_out(self, name: str) -> bool:
+    def is_ejected(self, name: str) -> bool:
         """Check if an endpoint is ejected now.
 
         :param name: name of the endpoint.
