--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -29,7 +29,7 @@
 from wingfall.gateway.knowledge import endpoint_lives
 from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
 from wingfall.gateway.knowledge.endpoint_lives import (
-    EndpointLives,
+    EndpointIncarnations,
     Incarnation,
     told_by_endpoints,
 )
@@ -86,7 +86,7 @@
 
 
 def test_later_start_is_the_newest_and_an_earlier_one_is_not():
-    lives = EndpointLives()
+    lives = EndpointIncarnations()
     assert lives.note(started(FIRST_MS)) is Incarnation.newest
     assert lives.note(started(LATER_MS)) is Incarnation.newest
     assert lives.note(started(FIRST_MS)) is Incarnation.earlier
@@ -99,7 +99,7 @@
 
 def test_remembered_starts_are_bounded(monkeypatch: pytest.MonkeyPatch):
     monkeypatch.setattr(endpoint_lives, '_MOST_REMEMBERED', 2)
-    lives = EndpointLives()
+    lives = EndpointIncarnations()
     for number in range(3):
         lives.note(started(LATER_MS, f'i-{number}'))
     assert lives.note(started(FIRST_MS, 'i-2')) is Incarnation.earlier
--- a/wingfall/gateway/knowledge/endpoint_lives.py
+++ b/wingfall/gateway/knowledge/endpoint_lives.py
@@ -36,7 +36,7 @@
 
 
 @final
-class EndpointLives:
+class EndpointIncarnations:
     """The newest start time of each endpoint id."""
 
     __slots__ = ('_born_ms',)
