--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -92,9 +92,9 @@
     assert lives.note(started(FIRST_MS)) is Incarnation.earlier
     assert lives.note(started(LATER_MS)) is Incarnation.newest
     assert lives.note(started(None)) is Incarnation.untold
-    assert lives.has_ended(started(FIRST_MS))
-    assert not lives.has_ended(started(LATER_MS))
-    assert not lives.has_ended(started(None))
+    assert lives.is_superseded(started(FIRST_MS))
+    assert not lives.is_superseded(started(LATER_MS))
+    assert not lives.is_superseded(started(None))
 
 
 def test_remembered_starts_are_bounded(monkeypatch: pytest.MonkeyPatch):
--- a/wingfall/gateway/endpoints/crash_watch.py
+++ b/wingfall/gateway/endpoints/crash_watch.py
@@ -167,6 +167,6 @@
             return False
         if endpoint.name in self._knowledge.signals.leaving:
             return False
-        if self._knowledge.lives.has_ended(endpoint):
+        if self._knowledge.lives.is_superseded(endpoint):
             return True
         return closes_connections(endpoint)
--- a/wingfall/gateway/knowledge/endpoint_lives.py
+++ b/wingfall/gateway/knowledge/endpoint_lives.py
@@ -66,7 +66,7 @@
             self._born_ms.popitem(last=False)
         return Incarnation.newest
 
-    def has_ended(self, endpoint: PoolEndpoint) -> bool:
+    def is_superseded(self, endpoint: PoolEndpoint) -> bool:
         """Check if a later incarnation has started under the same id.
 
         :param endpoint: the incarnation.
