--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -30,7 +30,7 @@
 from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
 from wingfall.gateway.knowledge.endpoint_lives import (
     EndpointIncarnations,
-    Incarnation,
+    EntryStatus,
     told_by_endpoints,
 )
 from wingfall.gateway.knowledge.endpoint_signals import EndpointSignals
@@ -87,11 +87,11 @@
 
 def test_later_start_is_the_newest_and_an_earlier_one_is_not():
     lives = EndpointIncarnations()
-    assert lives.note(started(FIRST_MS)) is Incarnation.newest
-    assert lives.note(started(LATER_MS)) is Incarnation.newest
-    assert lives.note(started(FIRST_MS)) is Incarnation.earlier
-    assert lives.note(started(LATER_MS)) is Incarnation.newest
-    assert lives.note(started(None)) is Incarnation.untold
+    assert lives.note(started(FIRST_MS)) is EntryStatus.newest
+    assert lives.note(started(LATER_MS)) is EntryStatus.newest
+    assert lives.note(started(FIRST_MS)) is EntryStatus.earlier
+    assert lives.note(started(LATER_MS)) is EntryStatus.newest
+    assert lives.note(started(None)) is EntryStatus.untold
     assert lives.is_superseded(started(FIRST_MS))
     assert not lives.is_superseded(started(LATER_MS))
     assert not lives.is_superseded(started(None))
@@ -102,8 +102,8 @@
     lives = EndpointIncarnations()
     for number in range(3):
         lives.note(started(LATER_MS, f'i-{number}'))
-    assert lives.note(started(FIRST_MS, 'i-2')) is Incarnation.earlier
-    assert lives.note(started(FIRST_MS, 'i-0')) is Incarnation.newest
+    assert lives.note(started(FIRST_MS, 'i-2')) is EntryStatus.earlier
+    assert lives.note(started(FIRST_MS, 'i-0')) is EntryStatus.newest
 
 
 def test_entries_without_a_start_are_used_where_none_tells_it():
--- a/wingfall/gateway/configuration/object_applier.py
+++ b/wingfall/gateway/configuration/object_applier.py
@@ -13,7 +13,7 @@
 
 from wingfall.errors import ObjectFault
 from wingfall.gateway.configuration.replica import ENDPOINTS_KIND, ROUTES_KIND
-from wingfall.gateway.knowledge.endpoint_lives import Incarnation
+from wingfall.gateway.knowledge.endpoint_lives import EntryStatus
 from wingfall.log import log_event
 
 if TYPE_CHECKING:
@@ -91,16 +91,16 @@
 
     def _put_endpoint(self, endpoint: PoolEndpoint) -> None:
         match self._state.knowledge.lives.note(endpoint):
-            case Incarnation.newest:
+            case EntryStatus.newest:
                 self._state.knowledge.table.put(endpoint)
                 self._set_cache_capacity(endpoint)
-            case Incarnation.earlier:
+            case EntryStatus.earlier:
                 log_event(
                     'endpoints',
                     'An entry of an earlier start changes nothing.',
                     endpoint=endpoint.name,
                 )
-            case Incarnation.untold:
+            case EntryStatus.untold:
                 reason = 'the endpoint has told its start before'
                 fault = ObjectFault(field='born', reason=reason)
                 self._refuse_endpoint(endpoint.instance, fault)
--- a/wingfall/gateway/knowledge/endpoint_lives.py
+++ b/wingfall/gateway/knowledge/endpoint_lives.py
@@ -24,7 +24,7 @@
 
 
 @final
-class Incarnation(enum.StrEnum):
+class EntryStatus(enum.StrEnum):
     """Status of an entry compared with earlier entries of its id."""
 
     newest = 'newest'
@@ -47,7 +47,7 @@
             collections.OrderedDict()
         )
 
-    def note(self, endpoint: PoolEndpoint) -> Incarnation:
+    def note(self, endpoint: PoolEndpoint) -> EntryStatus:
         """Record an endpoint's entry.
 
         :param endpoint: endpoint of the entry.
@@ -57,14 +57,14 @@
         known_ms = self._born_ms.get(instance)
         if born_ms is None:
             is_untold = known_ms is not None
-            return Incarnation.untold if is_untold else Incarnation.newest
+            return EntryStatus.untold if is_untold else EntryStatus.newest
         if known_ms is not None and born_ms < known_ms:
-            return Incarnation.earlier
+            return EntryStatus.earlier
         self._born_ms[instance] = born_ms
         self._born_ms.move_to_end(instance)
         if len(self._born_ms) > _MOST_REMEMBERED:
             self._born_ms.popitem(last=False)
-        return Incarnation.newest
+        return EntryStatus.newest
 
     def is_superseded(self, endpoint: PoolEndpoint) -> bool:
         """Check if a later incarnation has started under the same id.
