--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -31,7 +31,7 @@
 from wingfall.gateway.knowledge.endpoint_lives import (
     EndpointIncarnations,
     EntryStatus,
-    told_by_endpoints,
+    select_own_entries,
 )
 from wingfall.gateway.knowledge.endpoint_signals import EndpointSignals
 from wingfall.gateway.knowledge.load import EndpointLoad
@@ -108,12 +108,12 @@
 
 def test_entries_without_a_start_are_used_where_none_tells_it():
     listed = [started(None, 'one'), started(None, 'two')]
-    assert told_by_endpoints(listed) == listed
+    assert select_own_entries(listed) == listed
 
 
 def test_entry_without_a_start_among_those_that_tell_it_is_anothers():
     listed = [started(FIRST_MS, 'one'), started(None, 'two')]
-    assert told_by_endpoints(listed) == listed[:1]
+    assert select_own_entries(listed) == listed[:1]
 
 
 def test_one_entry_with_a_start_does_not_drive_the_others_out():
@@ -122,7 +122,7 @@
         started(None, 'one'),
         started(None, 'two'),
     ]
-    assert told_by_endpoints(listed) == listed
+    assert select_own_entries(listed) == listed
 
 
 def test_new_start_takes_the_place_of_the_earlier_one_at_once():
--- a/wingfall/gateway/knowledge/endpoint_lives.py
+++ b/wingfall/gateway/knowledge/endpoint_lives.py
@@ -78,7 +78,7 @@
         return newest_ms > endpoint.born_ms
 
 
-def told_by_endpoints(listed: Sequence[PoolEndpoint]) -> list[PoolEndpoint]:
+def select_own_entries(listed: Sequence[PoolEndpoint]) -> list[PoolEndpoint]:
     """Select the entries that were written by the endpoints themselves.
 
     Where the platform reports start times, an entry without one was written by
--- a/wingfall/gateway/knowledge/endpoint_table.py
+++ b/wingfall/gateway/knowledge/endpoint_table.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING, Final, final
 
-from wingfall.gateway.knowledge.endpoint_lives import told_by_endpoints
+from wingfall.gateway.knowledge.endpoint_lives import select_own_entries
 from wingfall.log import log_event
 
 if TYPE_CHECKING:
@@ -136,7 +136,7 @@
         ready = self._ready.get(pool)
         if ready is None:
             listed = list(self._by_pool.get(pool, {}).values())
-            own_entries = told_by_endpoints(listed)
+            own_entries = select_own_entries(listed)
             ready = [each for each in own_entries if not each.draining]
             self._ready[pool] = ready
         return ready
