--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -116,7 +116,7 @@
     watch: CrashDetector, knowledge: EndpointKnowledge, listener: socket.socket
 ):
     former = endpoint_at(listener, instance='e', born_ms=1)
-    knowledge.lives.note(endpoint_at(listener, instance='e', born_ms=2))
+    knowledge.incarnations.note(endpoint_at(listener, instance='e', born_ms=2))
     watch.note_broken(former, b'r', None)
     wait_until(lambda: knowledge.crashes.crashes)
 
--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -86,24 +86,24 @@
 
 
 def test_later_start_is_the_newest_and_an_earlier_one_is_not():
-    lives = EndpointIncarnations()
-    assert lives.note(started(FIRST_MS)) is EntryStatus.newest
-    assert lives.note(started(LATER_MS)) is EntryStatus.newest
-    assert lives.note(started(FIRST_MS)) is EntryStatus.earlier
-    assert lives.note(started(LATER_MS)) is EntryStatus.newest
-    assert lives.note(started(None)) is EntryStatus.untold
-    assert lives.is_superseded(started(FIRST_MS))
-    assert not lives.is_superseded(started(LATER_MS))
-    assert not lives.is_superseded(started(None))
+    incarnations = EndpointIncarnations()
+    assert incarnations.note(started(FIRST_MS)) is EntryStatus.newest
+    assert incarnations.note(started(LATER_MS)) is EntryStatus.newest
+    assert incarnations.note(started(FIRST_MS)) is EntryStatus.earlier
+    assert incarnations.note(started(LATER_MS)) is EntryStatus.newest
+    assert incarnations.note(started(None)) is EntryStatus.untold
+    assert incarnations.is_superseded(started(FIRST_MS))
+    assert not incarnations.is_superseded(started(LATER_MS))
+    assert not incarnations.is_superseded(started(None))
 
 
 def test_remembered_starts_are_bounded(monkeypatch: pytest.MonkeyPatch):
     monkeypatch.setattr(endpoint_lives, '_MOST_REMEMBERED', 2)
-    lives = EndpointIncarnations()
+    incarnations = EndpointIncarnations()
     for number in range(3):
-        lives.note(started(LATER_MS, f'i-{number}'))
-    assert lives.note(started(FIRST_MS, 'i-2')) is EntryStatus.earlier
-    assert lives.note(started(FIRST_MS, 'i-0')) is EntryStatus.newest
+        incarnations.note(started(LATER_MS, f'i-{number}'))
+    assert incarnations.note(started(FIRST_MS, 'i-2')) is EntryStatus.earlier
+    assert incarnations.note(started(FIRST_MS, 'i-0')) is EntryStatus.newest
 
 
 def test_entries_without_a_start_are_used_where_none_tells_it():
--- a/wingfall/gateway/calls/stream_continuation.py
+++ b/wingfall/gateway/calls/stream_continuation.py
@@ -60,7 +60,7 @@
 
 def _has_ended(state: GatewayState, endpoint: PoolEndpoint) -> bool:
     # A restarted engine accepts connections but no longer has the run.
-    if state.knowledge.lives.is_superseded(endpoint):
+    if state.knowledge.incarnations.is_superseded(endpoint):
         return True
     return refuses_connections(endpoint)
 
--- a/wingfall/gateway/configuration/object_applier.py
+++ b/wingfall/gateway/configuration/object_applier.py
@@ -90,7 +90,7 @@
         self._put_endpoint(read.unwrap())
 
     def _put_endpoint(self, endpoint: PoolEndpoint) -> None:
-        match self._state.knowledge.lives.note(endpoint):
+        match self._state.knowledge.incarnations.note(endpoint):
             case EntryStatus.newest:
                 self._state.knowledge.table.put(endpoint)
                 self._set_cache_capacity(endpoint)
--- a/wingfall/gateway/endpoints/crash_watch.py
+++ b/wingfall/gateway/endpoints/crash_watch.py
@@ -167,6 +167,6 @@
             return False
         if endpoint.name in self._knowledge.signals.leaving:
             return False
-        if self._knowledge.lives.is_superseded(endpoint):
+        if self._knowledge.incarnations.is_superseded(endpoint):
             return True
         return closes_connections(endpoint)
--- a/wingfall/gateway/knowledge/endpoint_knowledge.py
+++ b/wingfall/gateway/knowledge/endpoint_knowledge.py
@@ -68,7 +68,7 @@
         'customer_work',
         'full_gaps',
         'health',
-        'lives',
+        'incarnations',
         'load',
         'long_reads',
         'signals',
@@ -109,7 +109,7 @@
         # Listed endpoints, from the store.
         self.table = EndpointTable(clock=clock)
         # The newest incarnation of each endpoint, from the store.
-        self.lives = EndpointIncarnations()
+        self.incarnations = EndpointIncarnations()
         # Running work, from the calls of this gateway and its peers.
         self.load = LoadTable()
         # Cached prompt parts, from sent prompts and reports.
