--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -26,9 +26,9 @@
 from wingfall.gateway.configuration.object_applier import ObjectApplier
 from wingfall.gateway.endpoints.kept_connections import KeptConnections
 from wingfall.gateway.endpoints.sending_gate import SendingGate
-from wingfall.gateway.knowledge import endpoint_lives
+from wingfall.gateway.knowledge import endpoint_incarnations
 from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
-from wingfall.gateway.knowledge.endpoint_lives import (
+from wingfall.gateway.knowledge.endpoint_incarnations import (
     EndpointIncarnations,
     EntryStatus,
     select_own_entries,
@@ -98,7 +98,7 @@
 
 
 def test_remembered_starts_are_bounded(monkeypatch: pytest.MonkeyPatch):
-    monkeypatch.setattr(endpoint_lives, '_MOST_REMEMBERED', 2)
+    monkeypatch.setattr(endpoint_incarnations, '_MOST_REMEMBERED', 2)
     incarnations = EndpointIncarnations()
     for number in range(3):
         incarnations.note(started(LATER_MS, f'i-{number}'))
--- a/wingfall/gateway/configuration/object_applier.py
+++ b/wingfall/gateway/configuration/object_applier.py
@@ -13,7 +13,7 @@
 
 from wingfall.errors import ObjectFault
 from wingfall.gateway.configuration.replica import ENDPOINTS_KIND, ROUTES_KIND
-from wingfall.gateway.knowledge.endpoint_lives import EntryStatus
+from wingfall.gateway.knowledge.endpoint_incarnations import EntryStatus
 from wingfall.log import log_event
 
 if TYPE_CHECKING:
--- a/wingfall/gateway/knowledge/endpoint_knowledge.py
+++ b/wingfall/gateway/knowledge/endpoint_knowledge.py
@@ -11,7 +11,7 @@
 from wingfall.gateway.knowledge.crash_ledger import CrashLedger
 from wingfall.gateway.knowledge.customer_work import CustomerWork
 from wingfall.gateway.knowledge.endpoint_health import EndpointHealth
-from wingfall.gateway.knowledge.endpoint_lives import EndpointIncarnations
+from wingfall.gateway.knowledge.endpoint_incarnations import EndpointIncarnations
 from wingfall.gateway.knowledge.endpoint_signals import EndpointSignals
 from wingfall.gateway.knowledge.endpoint_table import EndpointTable
 from wingfall.gateway.knowledge.engine_speeds import EngineSpeeds
--- a/wingfall/gateway/knowledge/endpoint_table.py
+++ b/wingfall/gateway/knowledge/endpoint_table.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING, Final, final
 
-from wingfall.gateway.knowledge.endpoint_lives import select_own_entries
+from wingfall.gateway.knowledge.endpoint_incarnations import select_own_entries
 from wingfall.log import log_event
 
 if TYPE_CHECKING:
