--- a/tests/rate_world.py
+++ b/tests/rate_world.py
@@ -53,7 +53,7 @@
 
 
 @final
-class RateWorld:
+class RateSimulation:
     """The gateways, the arrivals at the endpoint, and updates in transit."""
 
     def __init__(
--- a/tests/test_rate_share.py
+++ b/tests/test_rate_share.py
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import strategies
 
-from tests.rate_world import ENDPOINT, RateWorld
+from tests.rate_world import ENDPOINT, RateSimulation
 from wingfall.gateway.rules.pacing.pace import TokenBucket
 from wingfall.gateway.rules.pacing.rate_share import (
     ShareTerms,
@@ -122,7 +122,7 @@
 def test_limit_is_kept_while_gateways_end_and_start(
     gateways: int, rate: float, delay_ms: int, seed: int
 ):
-    simulation = RateWorld(
+    simulation = RateSimulation(
         gateways=gateways, rate=rate, seed=seed, max_delay_ms=delay_ms, demand=8
     )
     simulation.run(4)
@@ -144,7 +144,7 @@
 def test_halves_that_are_cut_from_each_other(
     rate: float, seconds: float, times: int
 ):
-    simulation = RateWorld(gateways=8, rate=rate, seed=5, demand=max(8, rate))
+    simulation = RateSimulation(gateways=8, rate=rate, seed=5, demand=max(8, rate))
     simulation.run(5)
     simulation.partition({f'g{number}' for number in range(4)})
     simulation.run(seconds)
@@ -155,7 +155,7 @@
 
 def test_calls_that_come_unevenly_use_a_limit():
     # Five gateways with 8.5 calls per second for a limit of eight.
-    simulation = RateWorld(gateways=5, rate=8, seed=1, demand=1.7)
+    simulation = RateSimulation(gateways=5, rate=8, seed=1, demand=1.7)
     simulation.run(10)
     since_ms = simulation.clock.now_ms()
     simulation.run(60)
@@ -168,7 +168,7 @@
 def test_limit_is_used(rate: float, gateways: int):
     # Each gateway has calls for three times its share, or four per second.
     demand = max(4, 3 * rate / gateways)
-    simulation = RateWorld(gateways=gateways, rate=rate, seed=1, demand=demand)
+    simulation = RateSimulation(gateways=gateways, rate=rate, seed=1, demand=demand)
     simulation.run(10)
     since_ms = simulation.clock.now_ms()
     simulation.run(60)
@@ -177,7 +177,7 @@
 
 
 def test_gateways_come_back_one_after_the_other():
-    simulation = RateWorld(gateways=12, rate=1, seed=3, demand=8)
+    simulation = RateSimulation(gateways=12, rate=1, seed=3, demand=8)
     simulation.run(10)
     ended_ms = simulation.clock.now_ms()
     simulation.rate = None
