--- a/tests/test_sized_rates.py
+++ b/tests/test_sized_rates.py
@@ -108,7 +108,7 @@
         large_pool=LARGE_POOL,
         short_gap_ms=250,
     )
-    knowledge.note_gaps(asked_ms)
+    knowledge.set_shortest_gaps(asked_ms)
     list_engines(knowledge, LARGE_POOL)
     assert knowledge.judges_together(POOL) == together
     knowledge.take_readings('i-0', REPORTED_RATES)
--- a/wingfall/gateway/configuration/object_applier.py
+++ b/wingfall/gateway/configuration/object_applier.py
@@ -58,7 +58,7 @@
         if in_force is not None and routes.version <= in_force.version:
             return
         self._state.routes = routes
-        self._state.knowledge.note_gaps(routes.shortest_gaps_ms)
+        self._state.knowledge.set_shortest_gaps(routes.shortest_gaps_ms)
         # Entries may have come before the configuration that tells of memory.
         for endpoint in self._state.knowledge.table.listed:
             self._set_cache_capacity(endpoint)
--- a/wingfall/gateway/knowledge/endpoint_knowledge.py
+++ b/wingfall/gateway/knowledge/endpoint_knowledge.py
@@ -137,7 +137,7 @@
         # Signals that endpoints sent to any gateway.
         self.signals = EndpointSignals(name=name, clock=clock)
 
-    def note_gaps(self, shortest_ms: Mapping[str, int]) -> None:
+    def set_shortest_gaps(self, shortest_ms: Mapping[str, int]) -> None:
         """Set the token gap bounds of the configuration in force.
 
         :param shortest_ms: for each pool, the shortest token gap bound of the
