--- a/tests/test_sized_rates.py
+++ b/tests/test_sized_rates.py
@@ -110,7 +110,7 @@
     )
     knowledge.set_shortest_gaps(asked_ms)
     list_engines(knowledge, LARGE_POOL)
-    assert knowledge.judges_together(POOL) == together
+    assert knowledge.shares_estimates(POOL) == together
     knowledge.take_readings('i-0', REPORTED_RATES)
     rate = REPORTED_RATE if together else INITIAL_TOKENS_PER_MS
     assert knowledge.speed('i-0').rate.tokens_per_ms == rate
--- a/wingfall/gateway/calls/admission.py
+++ b/wingfall/gateway/calls/admission.py
@@ -82,7 +82,7 @@
 def _choose_admission(state: GatewayState, pool: str) -> Admission:
     # A small pool has hardly any other engine to search.
     chosen = state.policies.admission
-    if chosen.is_pool_wide and not state.knowledge.judges_together(pool):
+    if chosen.is_pool_wide and not state.knowledge.shares_estimates(pool):
         return admissions.find('target').unwrap()
     return chosen
 
--- a/wingfall/gateway/calls/engine_group.py
+++ b/wingfall/gateway/calls/engine_group.py
@@ -27,7 +27,7 @@
     """
     if not (endpoints and demand.is_prompt and state.routes):
         return endpoints
-    if not state.knowledge.judges_together(endpoints[0].pool):
+    if not state.knowledge.shares_estimates(endpoints[0].pool):
         state.reserved_engines.forget(endpoints[0].pool)
         return endpoints
     group = state.reserved_engines.allowed_engines(state.routes, demand, endpoints)
--- a/wingfall/gateway/knowledge/endpoint_knowledge.py
+++ b/wingfall/gateway/knowledge/endpoint_knowledge.py
@@ -121,7 +121,7 @@
             rates = SelectedRates(
                 own=OwnRates(),
                 shared=rates,
-                is_shared_pool=self.judges_together,
+                is_shared_pool=self.shares_estimates,
             )
         self.speeds = EngineSpeeds(rates=rates, full_gaps=self.full_gaps)
         # Errors of first event estimates, from first events received.
@@ -146,7 +146,7 @@
         self._shortest_gaps_ms = dict(shortest_ms)
         self._pool_sizes = {}
 
-    def judges_together(self, pool: str) -> bool:
+    def shares_estimates(self, pool: str) -> bool:
         """Check if gateways share estimates of the engines of a pool.
 
         They do where many gateways have few samples of each engine, and streams
@@ -174,7 +174,7 @@
             pending work.
         :returns: expected milliseconds to the first event.
         """
-        if not self.judges_together(pool):
+        if not self.shares_estimates(pool):
             return estimate_ms
         return self.start_estimates.expected_ms(pool, tier, estimate_ms)
 
