--- a/tests/exchange_site.py
+++ b/tests/exchange_site.py
@@ -70,7 +70,7 @@
     def note_prompt_sent(self, endpoint: str, tokens: int) -> None:
         self.reads.append((endpoint, tokens))
 
-    def take_readings(self, engine: str, rates: list[int]) -> None:
+    def merge_rate_samples(self, engine: str, rates: list[int]) -> None:
         self.rates.merge_reported(engine, POOL, rates)
 
     def rate(self, engine: str) -> float:
--- a/tests/test_sized_rates.py
+++ b/tests/test_sized_rates.py
@@ -57,7 +57,7 @@
     knowledge: EndpointKnowledge, count: int, rate: float
 ):
     list_engines(knowledge, count)
-    knowledge.take_readings('i-0', REPORTED_RATES)
+    knowledge.merge_rate_samples('i-0', REPORTED_RATES)
     assert knowledge.speed('i-0').rate.tokens_per_ms == rate
 
 
@@ -65,7 +65,7 @@
     knowledge: EndpointKnowledge, clock: ManualClock
 ):
     list_engines(knowledge, LARGE_POOL - 1)
-    knowledge.take_readings('i-0', REPORTED_RATES)
+    knowledge.merge_rate_samples('i-0', REPORTED_RATES)
     speed = knowledge.speed('i-0')
     assert speed.rate.tokens_per_ms == INITIAL_TOKENS_PER_MS
     list_engines(knowledge, LARGE_POOL)
@@ -90,7 +90,7 @@
     assert speed.rate.tokens_per_ms == INITIAL_TOKENS_PER_MS
     list_engines(knowledge, LARGE_POOL)
     clock.advance(500)
-    knowledge.take_readings('i-0', REPORTED_RATES)
+    knowledge.merge_rate_samples('i-0', REPORTED_RATES)
     assert speed.rate.tokens_per_ms == REPORTED_RATE
 
 
@@ -111,6 +111,6 @@
     knowledge.set_shortest_gaps(asked_ms)
     list_engines(knowledge, LARGE_POOL)
     assert knowledge.shares_estimates(POOL) == together
-    knowledge.take_readings('i-0', REPORTED_RATES)
+    knowledge.merge_rate_samples('i-0', REPORTED_RATES)
     rate = REPORTED_RATE if together else INITIAL_TOKENS_PER_MS
     assert knowledge.speed('i-0').rate.tokens_per_ms == rate
--- a/wingfall/gateway/knowledge/endpoint_knowledge.py
+++ b/wingfall/gateway/knowledge/endpoint_knowledge.py
@@ -187,7 +187,7 @@
         known = self.table.find(name)
         return self.speeds.find(name, known.pool if known else '')
 
-    def take_readings(self, name: str, rates: list[int]) -> None:
+    def merge_rate_samples(self, name: str, rates: list[int]) -> None:
         """Merge prefill rate samples of an engine from another gateway.
 
         :param name: name of the endpoint, which may not be listed yet.
--- a/wingfall/gateway/peers/loads/load_entries.py
+++ b/wingfall/gateway/peers/loads/load_entries.py
@@ -140,7 +140,7 @@
     _record_outcomes(activity, knowledge)
     _record_sent_prompts(activity, knowledge)
     for engine, *rates in activity.readings:
-        knowledge.take_readings(engine, rates)
+        knowledge.merge_rate_samples(engine, rates)
     for name, *gaps_ms in activity.gaps:
         knowledge.take_gaps(name, gaps_ms)
     # Ignores fields that later versions append.
