--- a/tests/test_kept_engines.py
+++ b/tests/test_kept_engines.py
@@ -121,7 +121,7 @@
                 draining=False,
             )
         )
-        self.knowledge.take_gaps(name, list(itertools.repeat(gap_ms, 8)))
+        self.knowledge.merge_gap_samples(name, list(itertools.repeat(gap_ms, 8)))
 
 
 @pytest.fixture
--- a/wingfall/gateway/knowledge/endpoint_knowledge.py
+++ b/wingfall/gateway/knowledge/endpoint_knowledge.py
@@ -197,7 +197,7 @@
         known = self.table.find(name)
         self.speeds.rates.merge_reported(name, known.pool if known else '', rates)
 
-    def take_gaps(self, name: str, gaps_ms: list[int]) -> None:
+    def merge_gap_samples(self, name: str, gaps_ms: list[int]) -> None:
         """Merge token gaps of an engine's streams from another gateway.
 
         :param name: name of the endpoint; ignored if it is not listed.
--- a/wingfall/gateway/peers/loads/load_entries.py
+++ b/wingfall/gateway/peers/loads/load_entries.py
@@ -142,7 +142,7 @@
     for engine, *rates in activity.readings:
         knowledge.merge_rate_samples(engine, rates)
     for name, *gaps_ms in activity.gaps:
-        knowledge.take_gaps(name, gaps_ms)
+        knowledge.merge_gap_samples(name, gaps_ms)
     # Ignores fields that later versions append.
     for pool, customer, asked, given, *_newer_fields in activity.work:
         if asked >= 0 and given >= 0:
