--- a/tests/test_gateway_load.py
+++ b/tests/test_gateway_load.py
@@ -98,7 +98,7 @@
     table = LoadTable()
     entry = table.start('one', EndpointLoad(running=1))
     assert table.take_unreported()['one'].running == 1
-    assert not table.has_changed
+    assert not table.has_unreported
     entry.end()
     assert table.take_unreported()['one'].running == 0
 
--- a/wingfall/gateway/knowledge/load.py
+++ b/wingfall/gateway/knowledge/load.py
@@ -82,7 +82,7 @@
         return self._own
 
     @property
-    def has_changed(self) -> bool:
+    def has_unreported(self) -> bool:
         """Whether own work has changes not yet reported to peers."""
         return bool(self._unreported)
 
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -174,7 +174,7 @@
         watching = self._is_watching()
         due = self._schedule.due(
             now_ms,
-            has_changes=self._load.has_changed,
+            has_changes=self._load.has_unreported,
             watching=watching,
             new_objects=self._has_new_objects(),
         )
