--- a/tests/test_customer_work.py
+++ b/tests/test_customer_work.py
@@ -80,10 +80,10 @@
     work: CustomerWork, clock: ManualClock
 ):
     work.merge_from_peer(POOL, 'aker', 4000, 4000)
-    assert not work.is_settled(POOL)
+    assert not work.covers_half_life(POOL)
     clock.advance(HALF_LIFE_MS)
-    assert work.is_settled(POOL)
-    assert not work.is_settled('others')
+    assert work.covers_half_life(POOL)
+    assert not work.covers_half_life('others')
 
 
 def test_customer_that_comes_to_a_full_pool_is_kept(work: CustomerWork):
@@ -100,4 +100,4 @@
     for _half_life in range(40):
         clock.advance(HALF_LIFE_MS)
     work.note(POOL, 'aker', Work(asked=4000))
-    assert not work.is_settled(POOL)
+    assert not work.covers_half_life(POOL)
--- a/wingfall/gateway/knowledge/customer_work.py
+++ b/wingfall/gateway/knowledge/customer_work.py
@@ -87,7 +87,7 @@
         """Return the number of customers with recorded work."""
         return len(self._by_customer)
 
-    def is_settled(self, now_ms: int) -> bool:
+    def covers_half_life(self, now_ms: int) -> bool:
         """Check if work is recorded for long enough to be compared.
 
         :param now_ms: current clock time in milliseconds.
@@ -210,14 +210,14 @@
         known = self._pools.get(pool)
         return {} if known is None else dict(known.decayed_work(self._clock.now_ms()))
 
-    def is_settled(self, pool: str) -> bool:
+    def covers_half_life(self, pool: str) -> bool:
         """Check if work of a pool is recorded for long enough to be compared.
 
         :param pool: name of the pool.
         :returns: whether work is recorded for at least a half-life.
         """
         known = self._pools.get(pool)
-        return known is not None and known.is_settled(self._clock.now_ms())
+        return known is not None and known.covers_half_life(self._clock.now_ms())
 
     def _add(self, pool: str, customer: str, work: Work) -> None:
         now_ms = self._clock.now_ms()
--- a/wingfall/gateway/rules/admission/fair_shares.py
+++ b/wingfall/gateway/rules/admission/fair_shares.py
@@ -142,7 +142,7 @@
         ):
             work = self._knowledge.customer_work
             shares = PoolShares(
-                work=work.decayed_work(pool) if work.is_settled(pool) else {},
+                work=work.decayed_work(pool) if work.covers_half_life(pool) else {},
                 pending_tokens=self._pending_tokens(pool),
                 now_ms=now_ms,
             )
