--- a/wingfall/gateway/knowledge/customer_work.py
+++ b/wingfall/gateway/knowledge/customer_work.py
@@ -18,7 +18,7 @@
 # Work of one answer token, in prefill tokens. An engine adds a token of each
 # stream to each prefill step, which lengthens the step by as much as a few
 # prompt tokens do.
-ANSWER_TOKEN_WORK: Final = 5
+WORK_PER_ANSWER_TOKEN: Final = 5
 # Time in which the weight of work halves: longer than prompts wait, shorter
 # than a burst.
 _HALF_LIFE_MS: Final = 2000
@@ -38,7 +38,7 @@
     :param output_tokens: expected length of the answer in tokens.
     :returns: the work in prefill tokens.
     """
-    return prefill_tokens + output_tokens * ANSWER_TOKEN_WORK
+    return prefill_tokens + output_tokens * WORK_PER_ANSWER_TOKEN
 
 
 @final
