--- a/wingfall/gateway/callers/caller_connection.py
+++ b/wingfall/gateway/callers/caller_connection.py
@@ -25,7 +25,7 @@
 from wingfall.gateway.calls.dispatcher import Dispatch, ReplyCutError
 from wingfall.gateway.calls.final_answer import (
     note_answer,
-    send_not_a_request,
+    send_malformed_request_error,
     send_refusal,
 )
 from wingfall.gateway.calls.intake import accept_call
@@ -253,6 +253,6 @@
         if self._http.our_state not in {h11.IDLE, h11.SEND_RESPONSE}:
             return
         try:
-            send_not_a_request(self._make_reply(), status)
+            send_malformed_request_error(self._make_reply(), status)
         except (CallerGoneError, h11.LocalProtocolError):
             return
--- a/wingfall/gateway/calls/final_answer.py
+++ b/wingfall/gateway/calls/final_answer.py
@@ -70,7 +70,7 @@
     )
 
 
-def send_not_a_request(reply: Reply, status: int) -> None:
+def send_malformed_request_error(reply: Reply, status: int) -> None:
     """Send an error response to bytes that are not an HTTP request.
 
     :param reply: the answer to the caller.
