--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -194,7 +194,7 @@
             SentPrompt(endpoint=name, parts=PARTS, uncached_tokens=500), 10_000
         ),
         lambda known, name: (
-            known.caches.find(name).pending_read(PARTS, 0).tokens
+            known.caches.find(name).pending_prefill(PARTS, 0).tokens
         ),
     ),
 }
--- a/tests/test_prefix_cache.py
+++ b/tests/test_prefix_cache.py
@@ -43,10 +43,10 @@
     cache = PrefixCache()
     cache.note(parts('a'))
     cache.note(parts('a', 'b'), ready_ms=500)
-    pending = cache.pending_read(parts('a', 'b', 'c'), now_ms=300)
+    pending = cache.pending_prefill(parts('a', 'b', 'c'), now_ms=300)
     assert (pending.tokens, pending.ready_in_ms) == (100, 200)
     cache.confirm_read(parts('a', 'b'))
-    assert cache.pending_read(parts('a', 'b'), now_ms=300).tokens == 0
+    assert cache.pending_prefill(parts('a', 'b'), now_ms=300).tokens == 0
     assert cache.cached_tokens(parts('a', 'b')) == 200
 
 
@@ -63,7 +63,7 @@
     cache = PrefixCache(capacity=150)
     cache.note(parts('a'), ready_ms=500)
     cache.note(parts('b'))
-    assert cache.pending_read(parts('a'), now_ms=0).tokens == 0
+    assert cache.pending_prefill(parts('a'), now_ms=0).tokens == 0
 
 
 PART_NAMES = st.lists(st.sampled_from('abcdefgh'), max_size=4)
--- a/wingfall/gateway/knowledge/prefix_cache.py
+++ b/wingfall/gateway/knowledge/prefix_cache.py
@@ -128,7 +128,7 @@
             total += part.tokens
         return total
 
-    def pending_read(
+    def pending_prefill(
         self,
         parts: Iterable[PromptPart],
         now_ms: int,
