--- a/tests/load_replay.py
+++ b/tests/load_replay.py
@@ -474,7 +474,7 @@
         call.begun_ms = self.clock.now_ms()
         call.entry.begin_output()
         knowledge, now_ms = call.gateway.knowledge, self.clock.now_ms()
-        knowledge.caches.confirm_read(engine.name, call.prompt)
+        knowledge.caches.confirm_prefill(engine.name, call.prompt)
         knowledge.start_estimates.note(POOL, 0, to.start_ms, now_ms - sent_ms)
         pending, own = to.candidate.prefill_tokens, to.load.prefill_tokens
         knowledge.speeds.note_start(
--- a/tests/test_prefix_cache.py
+++ b/tests/test_prefix_cache.py
@@ -45,7 +45,7 @@
     cache.note(parts('a', 'b'), ready_ms=500)
     pending = cache.pending_prefill(parts('a', 'b', 'c'), now_ms=300)
     assert (pending.tokens, pending.ready_in_ms) == (100, 200)
-    cache.confirm_read(parts('a', 'b'))
+    cache.confirm_prefill(parts('a', 'b'))
     assert cache.pending_prefill(parts('a', 'b'), now_ms=300).tokens == 0
     assert cache.cached_tokens(parts('a', 'b')) == 200
 
--- a/wingfall/gateway/calls/attempt_tracker.py
+++ b/wingfall/gateway/calls/attempt_tracker.py
@@ -95,7 +95,7 @@
             return
         name, prompt = self._destination.endpoint.name, self._call.head.prompt
         if prompt is not None:
-            self._state.knowledge.caches.confirm_read(name, prompt)
+            self._state.knowledge.caches.confirm_prefill(name, prompt)
         self._update_prefill_rate()
         self._update_start_estimates()
 
--- a/wingfall/gateway/knowledge/prefix_cache.py
+++ b/wingfall/gateway/knowledge/prefix_cache.py
@@ -146,7 +146,7 @@
             ready_in_ms=max(ready, default=now_ms) - now_ms,
         )
 
-    def confirm_read(self, parts: Iterable[PromptPart]) -> None:
+    def confirm_prefill(self, parts: Iterable[PromptPart]) -> None:
         """Record that the prefill of a prompt has ended.
 
         :param parts: the shared parts of the prompt.
--- a/wingfall/gateway/knowledge/prefix_caches.py
+++ b/wingfall/gateway/knowledge/prefix_caches.py
@@ -99,13 +99,13 @@
         self.find(sent.endpoint).note(sent.parts, ready_ms)
         self.unsent.append(sent)
 
-    def confirm_read(self, endpoint: str, prompt: Prompt) -> None:
+    def confirm_prefill(self, endpoint: str, prompt: Prompt) -> None:
         """Record that the prefill of a prompt ended, since its output began.
 
         :param endpoint: name of the engine.
         :param prompt: the prompt that was prefilled.
         """
-        self.find(endpoint).confirm_read(prompt.shared)
+        self.find(endpoint).confirm_prefill(prompt.shared)
 
     def drop_unconfirmed(self, endpoint: str, prompt: Prompt) -> None:
         """Remove the parts that an ended attempt didn't prefill.
