--- a/tests/load_replay.py
+++ b/tests/load_replay.py
@@ -27,7 +27,7 @@
 from returns.result import Success
 
 from wingfall.clock import ManualClock
-from wingfall.gateway.calls.admission import admit_prompt, note_given
+from wingfall.gateway.calls.admission import admit_prompt, note_given_work
 from wingfall.gateway.calls.destination import choose_destination
 from wingfall.gateway.endpoints.sending_gate import SendingGate
 from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
@@ -443,7 +443,7 @@
         call.entry = knowledge.load.start(name, to.load)
         uncached = to.load.prefill_tokens
         knowledge.note_prompt_sent(name, uncached)
-        note_given(call.gateway.state, call.call, to)
+        note_given_work(call.gateway.state, call.call, to)
         sent = SentPrompt(
             endpoint=name,
             parts=call.prompt.shared,
--- a/wingfall/gateway/calls/admission.py
+++ b/wingfall/gateway/calls/admission.py
@@ -64,7 +64,7 @@
     return Failure(refuse_early(admitted.failure()))
 
 
-def note_given(
+def note_given_work(
     state: GatewayState, call: Call, destination: Destination
 ) -> None:
     """Record the work of a prompt that is sent as given to its customer.
--- a/wingfall/gateway/calls/attempt_tracker.py
+++ b/wingfall/gateway/calls/attempt_tracker.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING, Final, final
 
-from wingfall.gateway.calls.admission import note_given
+from wingfall.gateway.calls.admission import note_given_work
 from wingfall.gateway.calls.attempt_log import log_attempt
 from wingfall.gateway.calls.token_gap_watch import TokenGapWatch
 from wingfall.gateway.knowledge.prefix_caches import SentPrompt
@@ -178,7 +178,7 @@
         uncached_tokens = destination.load.prefill_tokens
         self._state.knowledge.note_prompt_sent(name, uncached_tokens)
         if self._number == 1:
-            note_given(self._state, self._call, destination)
+            note_given_work(self._state, self._call, destination)
         prefill_timeout_ms = int(self._estimate_ms * _PREFILL_TIMEOUT_FACTOR)
         self._state.knowledge.caches.note_sent(
             SentPrompt(
