--- a/wingfall/gateway/calls/admission.py
+++ b/wingfall/gateway/calls/admission.py
@@ -9,7 +9,7 @@
 from returns.result import Failure, Result, Success
 
 from wingfall.gateway.calls.pool_room import (
-    PoolRoom,
+    PoolCapacity,
     estimate_start,
     find_room,
     take_room,
@@ -131,7 +131,7 @@
     state: GatewayState,
     call: Call,
     estimate: StartEstimate,
-    capacity: PoolRoom,
+    capacity: PoolCapacity,
 ) -> Refusal:
     pool = capacity.earliest.endpoint.pool
     reason = refusal_reason(estimate)
--- a/wingfall/gateway/calls/pool_room.py
+++ b/wingfall/gateway/calls/pool_room.py
@@ -34,7 +34,7 @@
 
 
 @final
-class PoolRoom:
+class PoolCapacity:
     """Destinations in a pool, divided by whether a prompt starts in time."""
 
     __slots__ = ('in_time', 'late')
@@ -104,7 +104,7 @@
     call: Call,
     chosen: Destination,
     is_in_time: Callable[[Destination], bool],
-) -> PoolRoom:
+) -> PoolCapacity:
     """Find the engines of a pool that would start a prompt in time.
 
     :param state: state of the gateway.
@@ -120,11 +120,11 @@
             continue
         destination = _describe_destination(state, call, endpoint)
         (in_time if is_in_time(destination) else late).append(destination)
-    return PoolRoom(in_time=in_time, late=late)
+    return PoolCapacity(in_time=in_time, late=late)
 
 
 def take_room(
-    state: GatewayState, call: Call, pool: str, capacity: PoolRoom
+    state: GatewayState, call: Call, pool: str, capacity: PoolCapacity
 ) -> Destination:
     """Choose an engine that starts a prompt in time.
 
