--- a/wingfall/gateway/calls/admission.py
+++ b/wingfall/gateway/calls/admission.py
@@ -11,7 +11,7 @@
 from wingfall.gateway.calls.pool_room import (
     PoolCapacity,
     estimate_start,
-    find_room,
+    find_capacity,
     take_room,
 )
 from wingfall.gateway.knowledge.customer_work import Work, prompt_work
@@ -103,7 +103,7 @@
     relative_use = state.fair_shares.find(pool).relative_use(call.customer_name)
     if _is_in_time(state, estimate(chosen, relative_use)):
         return Success(chosen)
-    capacity = find_room(
+    capacity = find_capacity(
         state,
         call,
         chosen,
--- a/wingfall/gateway/calls/pool_room.py
+++ b/wingfall/gateway/calls/pool_room.py
@@ -99,7 +99,7 @@
     )
 
 
-def find_room(
+def find_capacity(
     state: GatewayState,
     call: Call,
     chosen: Destination,
