--- a/wingfall/gateway/calls/admission.py
+++ b/wingfall/gateway/calls/admission.py
@@ -12,7 +12,7 @@
     PoolCapacity,
     estimate_start,
     find_capacity,
-    take_room,
+    choose_timely_engine,
 )
 from wingfall.gateway.knowledge.customer_work import Work, prompt_work
 from wingfall.gateway.rules.admission.early_refusal import (
@@ -120,7 +120,7 @@
     if _is_in_time(state, estimate(chosen)):
         return Success(chosen)
     _count_decision(state, 'other_engine')
-    return Success(take_room(state, call, pool, capacity))
+    return Success(choose_timely_engine(state, call, pool, capacity))
 
 
 def _is_in_time(state: GatewayState, estimate: StartEstimate) -> bool:
--- a/wingfall/gateway/calls/pool_room.py
+++ b/wingfall/gateway/calls/pool_room.py
@@ -123,7 +123,7 @@
     return PoolCapacity(in_time=in_time, late=late)
 
 
-def take_room(
+def choose_timely_engine(
     state: GatewayState, call: Call, pool: str, capacity: PoolCapacity
 ) -> Destination:
     """Choose an engine that starts a prompt in time.
