--- a/wingfall/gateway/calls/dispatcher.py
+++ b/wingfall/gateway/calls/dispatcher.py
@@ -23,7 +23,7 @@
 from wingfall.gateway.calls.destination import choose_destination
 from wingfall.gateway.calls.held_pool import (
     hold_attempt,
-    hold_off,
+    defer_call,
     pool_is_held,
 )
 from wingfall.gateway.calls.shared_read_wait import await_shared_read
@@ -157,7 +157,7 @@
     def _defer(self) -> Refusal | None:
         if self._reply.started or self._run_state is not RunState.not_run:
             return None
-        return hold_off(self._state, self._call, self._pool)
+        return defer_call(self._state, self._call, self._pool)
 
     def _refuse_blocked(self) -> Refusal | None:
         block = self._state.blocks.find_block(self._call.fingerprint)
--- a/wingfall/gateway/calls/held_pool.py
+++ b/wingfall/gateway/calls/held_pool.py
@@ -23,7 +23,7 @@
 _MAX_LOGGED_ENDPOINTS: Final = 8
 
 
-def hold_off(state: GatewayState, call: Call, pool: str) -> Refusal | None:
+def defer_call(state: GatewayState, call: Call, pool: str) -> Refusal | None:
     """Defer a call if endpoints of its pool are withheld.
 
     :param state: state of the gateway.
