--- a/wingfall/gateway/calls/dispatcher.py
+++ b/wingfall/gateway/calls/dispatcher.py
@@ -22,7 +22,7 @@
 from wingfall.gateway.calls.attempt_tracker import AttemptTracker
 from wingfall.gateway.calls.destination import choose_destination
 from wingfall.gateway.calls.held_pool import (
-    hold_attempt,
+    defer_attempt,
     defer_call,
     pool_is_held,
 )
@@ -183,7 +183,7 @@
 
     def _run_attempt(self, destination: Destination) -> AttemptOutcome:
         state = self._state
-        deferred = hold_attempt(state, self._call, destination)
+        deferred = defer_attempt(state, self._call, destination)
         if deferred is not None:
             return deferred
         state.blocks.note_sent(self._call.fingerprint)
--- a/wingfall/gateway/calls/held_pool.py
+++ b/wingfall/gateway/calls/held_pool.py
@@ -56,7 +56,7 @@
     return refuse_withheld(retry_ms, resting=resting)
 
 
-def hold_attempt(
+def defer_attempt(
     state: GatewayState,
     call: Call,
     destination: Destination,
