--- a/wingfall/gateway/calls/dispatcher.py
+++ b/wingfall/gateway/calls/dispatcher.py
@@ -24,7 +24,7 @@
 from wingfall.gateway.calls.held_pool import (
     defer_attempt,
     defer_call,
-    pool_is_held,
+    is_pool_withheld,
 )
 from wingfall.gateway.calls.shared_read_wait import await_shared_read
 from wingfall.gateway.calls.stream_continuation import find_continuation
@@ -273,7 +273,7 @@
         if self._failed_answer is not None:
             self._send_whole(self._failed_answer)
             return None
-        if end is AttemptEnd.not_run and pool_is_held(self._state, self._pool):
+        if end is AttemptEnd.not_run and is_pool_withheld(self._state, self._pool):
             deferred = self._defer()
             if deferred is not None:
                 return deferred
--- a/wingfall/gateway/calls/held_pool.py
+++ b/wingfall/gateway/calls/held_pool.py
@@ -85,7 +85,7 @@
     return AttemptOutcome(end=AttemptEnd.held, reason=reason)
 
 
-def pool_is_held(state: GatewayState, pool: str) -> bool:
+def is_pool_withheld(state: GatewayState, pool: str) -> bool:
     """Check if all usable endpoints of a pool are withheld.
 
     :param state: state of the gateway.
