--- a/wingfall/gateway/calls/destination.py
+++ b/wingfall/gateway/calls/destination.py
@@ -11,7 +11,7 @@
 
 from wingfall.gateway.calls.open_endpoints import (
     describe_demand,
-    list_weighed,
+    list_candidates,
 )
 from wingfall.gateway.knowledge.load import EndpointLoad
 from wingfall.gateway.rules.placement.cache_transfer import copied_tokens
@@ -96,7 +96,7 @@
     :param avoided: names of the endpoints of earlier attempts.
     :returns: the destination, None if the pool has no endpoint left.
     """
-    endpoints = list_weighed(state, call, pool, avoided)
+    endpoints = list_candidates(state, call, pool, avoided)
     return choose_among(state, call, pool, endpoints) if endpoints else None
 
 
--- a/wingfall/gateway/calls/open_endpoints.py
+++ b/wingfall/gateway/calls/open_endpoints.py
@@ -45,7 +45,7 @@
     )
 
 
-def list_weighed(
+def list_candidates(
     state: GatewayState,
     call: Call,
     pool: str,
