--- a/wingfall/gateway/calls/open_endpoints.py
+++ b/wingfall/gateway/calls/open_endpoints.py
@@ -77,7 +77,7 @@
     return prefer_available(accepting, avoided, is_ejected)
 
 
-def list_open(state: GatewayState, call: Call, pool: str) -> list[PoolEndpoint]:
+def list_open_endpoints(state: GatewayState, call: Call, pool: str) -> list[PoolEndpoint]:
     """List all endpoints of a pool that a call may be sent to.
 
     :param state: state of the gateway.
--- a/wingfall/gateway/calls/pool_room.py
+++ b/wingfall/gateway/calls/pool_room.py
@@ -17,7 +17,7 @@
     choose_among,
     describe_endpoint,
 )
-from wingfall.gateway.calls.open_endpoints import describe_demand, list_open
+from wingfall.gateway.calls.open_endpoints import describe_demand, list_open_endpoints
 from wingfall.gateway.rules.admission.early_refusal import StartEstimate
 
 if TYPE_CHECKING:
@@ -115,7 +115,7 @@
     """
     in_time: list[Destination] = []
     late = [chosen]
-    for endpoint in list_open(state, call, chosen.endpoint.pool):
+    for endpoint in list_open_endpoints(state, call, chosen.endpoint.pool):
         if endpoint.name == chosen.endpoint.name:
             continue
         destination = _describe_destination(state, call, endpoint)
