--- a/wingfall/gateway/calls/dispatcher.py
+++ b/wingfall/gateway/calls/dispatcher.py
@@ -26,7 +26,7 @@
     defer_call,
     is_pool_withheld,
 )
-from wingfall.gateway.calls.shared_read_wait import await_shared_read
+from wingfall.gateway.calls.shared_read_wait import await_shared_prefill
 from wingfall.gateway.calls.stream_continuation import find_continuation
 from wingfall.gateway.model.attempt_end import AttemptEnd
 from wingfall.gateway.rules.admission.refusals import (
@@ -176,7 +176,7 @@
         # A call waits once; the earlier choice is outdated after the wait.
         if self._has_waited or destination.is_continuation:
             return destination
-        self._has_waited = await_shared_read(
+        self._has_waited = await_shared_prefill(
             self._state, self._call, destination
         )
         return (self._has_waited and self._choose()) or destination
--- a/wingfall/gateway/calls/shared_read_wait.py
+++ b/wingfall/gateway/calls/shared_read_wait.py
@@ -22,7 +22,7 @@
 _POLL_INTERVAL_MS: Final = 5
 
 
-def await_shared_read(
+def await_shared_prefill(
     state: GatewayState, call: Call, destination: Destination
 ) -> bool:
     """Wait until an engine has prefilled a shared part for another prompt.
