--- a/tests/test_call_rules.py
+++ b/tests/test_call_rules.py
@@ -107,7 +107,7 @@
 def retry_verdict(end: AttemptEnd, **case: Any) -> str:
     """Return whether a call is retried: no, freely or from the budget."""
     asked: list[str] = []
-    is_retried = make_dispatch(asked=asked, **case)._may_try_again(end)
+    is_retried = make_dispatch(asked=asked, **case)._may_retry(end)
     if asked:
         return 'b'
     return 'f' if is_retried else 'n'
--- a/wingfall/gateway/calls/dispatcher.py
+++ b/wingfall/gateway/calls/dispatcher.py
@@ -122,7 +122,7 @@
             self._continuation = find_continuation(
                 self._state, self._call, self._reply, destination, outcome
             )
-            if not self._may_try_again(outcome.end):
+            if not self._may_retry(outcome.end):
                 return self._end_failed_call(outcome.end)
         return self._end_failed_call(AttemptEnd.late)
 
@@ -253,7 +253,7 @@
         if outcome.end is AttemptEnd.failed:
             self._failed_answer = outcome.answer
 
-    def _may_try_again(self, end: AttemptEnd) -> bool:
+    def _may_retry(self, end: AttemptEnd) -> bool:
         if self._continuation is not None:
             return True
         reply = self._reply
