--- a/wingfall/gateway/callers/caller_connection.py
+++ b/wingfall/gateway/callers/caller_connection.py
@@ -55,7 +55,7 @@
 _FIRST_REQUEST_GRACE_MS: Final = 500
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller has closed the connection or accepts no more bytes."""
 
 
@@ -103,7 +103,7 @@
         try:
             while self._serve_next():
                 self._reader.prepare_next_request()
-        except (CallerGoneError, ReplyCutError):
+        except (CallerDisconnectedError, ReplyCutError):
             self._closing = True
         except h11.RemoteProtocolError as error:
             self._refuse_invalid_request(error)
@@ -187,7 +187,7 @@
                 call=call,
                 reply=reply,
             ).serve()
-        except (CallerGoneError, ReplyCutError, OSError):
+        except (CallerDisconnectedError, ReplyCutError, OSError):
             raise
         except Exception:  # Internal error; the caller still gets a response.
             refusal = self._note_fault(call, reply)
@@ -230,7 +230,7 @@
         try:
             send_all(self._socket, encoded)
         except OSError as error:
-            raise CallerGoneError from error
+            raise CallerDisconnectedError from error
 
     def _watch_for_disconnect(self, serving: Greenlet) -> None:
         try:
@@ -239,7 +239,7 @@
         except OSError:
             disconnected = True
         if disconnected:
-            serving.kill(CallerGoneError, block=False)
+            serving.kill(CallerDisconnectedError, block=False)
 
     def _refuse_invalid_request(self, error: h11.RemoteProtocolError) -> None:
         self._closing = True
@@ -254,5 +254,5 @@
             return
         try:
             send_malformed_request_error(self._make_reply(), status)
-        except (CallerGoneError, h11.LocalProtocolError):
+        except (CallerDisconnectedError, h11.LocalProtocolError):
             return
