--- a/wingfall/gateway/callers/caller_connection.py
+++ b/wingfall/gateway/callers/caller_connection.py
@@ -19,7 +19,7 @@
 
 from wingfall.clock import MS_PER_S
 from wingfall.gateway.callers.request_reader import (
-    RequestLateError,
+    RequestTimeoutError,
     RequestReader,
 )
 from wingfall.gateway.calls.dispatcher import Dispatch, ReplyCutError
@@ -107,7 +107,7 @@
             self._closing = True
         except h11.RemoteProtocolError as error:
             self._refuse_invalid_request(error)
-        except (RequestLateError, OSError):
+        except (RequestTimeoutError, OSError):
             self._closing = True
         finally:
             self.is_busy = False
--- a/wingfall/gateway/callers/request_reader.py
+++ b/wingfall/gateway/callers/request_reader.py
@@ -27,7 +27,7 @@
 _BODY_TIMEOUT_MS: Final = 30_000
 
 
-class RequestLateError(Exception):
+class RequestTimeoutError(Exception):
     """A request did not start, or did not arrive completely, in time."""
 
 
@@ -82,7 +82,7 @@
         """Read the head of a request.
 
         :returns: the request head, None if the connection has ended.
-        :raises RequestLateError: if the head did not arrive in time.
+        :raises RequestTimeoutError: if the head did not arrive in time.
         """
         started_ms = self._clock.now_ms()
         while True:
@@ -103,7 +103,7 @@
         """Read the body of a request.
 
         :returns: the whole body, None if it is too large.
-        :raises RequestLateError: if the body did not arrive in time.
+        :raises RequestTimeoutError: if the body did not arrive in time.
         """
         body = BodyReader()
         deadline_ms = self._clock.now_ms() + _BODY_TIMEOUT_MS
@@ -131,7 +131,7 @@
     def _read(self, deadline_ms: int) -> bool:
         remaining_ms = deadline_ms - self._clock.now_ms()
         if remaining_ms <= 0:
-            raise RequestLateError
+            raise RequestTimeoutError
         self._socket.settimeout(remaining_ms / MS_PER_S)
         try:
             received = self._socket.recv(_MAX_READ_BYTES)
