--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -14,7 +14,7 @@
 from wingfall.clock import MS_PER_S
 from wingfall.gateway.assembly import make_state
 from wingfall.gateway.callers.caller_server import CallerServer
-from wingfall.gateway.callers.readiness import make_ready_app
+from wingfall.gateway.callers.readiness import make_readiness_app
 from wingfall.gateway.configuration.follower import StoreFollower
 from wingfall.gateway.configuration.object_applier import ObjectApplier
 from wingfall.gateway.configuration.replica import (
@@ -127,7 +127,7 @@
             ),
         )
         self._ready_server = HttpServer(
-            app=make_ready_app(
+            app=make_readiness_app(
                 path=self._state.binding.ready_path,
                 not_ready_reason=self.not_ready,
             ),
--- a/wingfall/gateway/callers/readiness.py
+++ b/wingfall/gateway/callers/readiness.py
@@ -11,7 +11,7 @@
 import bottle
 
 
-def make_ready_app(
+def make_readiness_app(
     *,
     path: str,
     not_ready_reason: Callable[[], str],
