--- a/tests/test_sending_gate.py
+++ b/tests/test_sending_gate.py
@@ -9,7 +9,7 @@
 from tests.gateway_site import CallerStandIn, GatewaySite
 from tests.local_site import wait_until
 from wingfall.clock import ManualClock
-from wingfall.gateway.endpoints.endpoint_connection import HeldError
+from wingfall.gateway.endpoints.endpoint_connection import EndpointWithheldError
 from wingfall.gateway.endpoints.kept_connections import KeptConnections
 from wingfall.gateway.endpoints.sending_gate import SendingGate
 from wingfall.gateway.knowledge.endpoint_signals import EndpointSignals
@@ -109,7 +109,7 @@
         slots=8,
         draining=False,
     )
-    with pytest.raises(HeldError, match=Held.limited):
+    with pytest.raises(EndpointWithheldError, match=Held.limited):
         connections.acquire(endpoint, timeout_ms=100, allow_reuse=False)
 
 
--- a/wingfall/gateway/calls/attempt.py
+++ b/wingfall/gateway/calls/attempt.py
@@ -21,7 +21,7 @@
 from wingfall.gateway.endpoints.endpoint_connection import (
     AnswerBrokenError,
     AnswerLateError,
-    HeldError,
+    EndpointWithheldError,
     NotConnectedError,
 )
 from wingfall.gateway.endpoints.event_stream import EventSplitter
@@ -106,7 +106,7 @@
         try:
             return self._exchange(limits)
         except NotConnectedError as error:
-            is_withheld = isinstance(error, HeldError)
+            is_withheld = isinstance(error, EndpointWithheldError)
             end = AttemptEnd.held if is_withheld else AttemptEnd.not_sent
             return AttemptOutcome(end=end, reason=str(error))
         except AnswerBrokenError as error:
--- a/wingfall/gateway/endpoints/endpoint_connection.py
+++ b/wingfall/gateway/endpoints/endpoint_connection.py
@@ -48,7 +48,7 @@
     """The connection could not be established, so nothing was sent."""
 
 
-class HeldError(NotConnectedError):
+class EndpointWithheldError(NotConnectedError):
     """The endpoint takes no request of this gateway now; nothing was sent."""
 
 
--- a/wingfall/gateway/endpoints/kept_connections.py
+++ b/wingfall/gateway/endpoints/kept_connections.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING, final
 
-from wingfall.gateway.endpoints.endpoint_connection import HeldError, connect
+from wingfall.gateway.endpoints.endpoint_connection import EndpointWithheldError, connect
 
 if TYPE_CHECKING:
     from wingfall.clock import Clock
@@ -49,13 +49,13 @@
         :param allow_reuse: whether an idle connection may be reused.
         :returns: a connection, owned by the caller.
         :raises NotConnectedError: if the connection can't be established.
-        :raises HeldError: if the endpoint takes no request now.
+        :raises EndpointWithheldError: if the endpoint takes no request now.
         """
         # Every request to an endpoint passes here, so its limits also count
         # retries, resumed streams and requests of the gateway itself.
         withheld = self._gate.why_held(endpoint.name)
         if withheld is not None:
-            raise HeldError(withheld)
+            raise EndpointWithheldError(withheld)
         connection = self._reuse_or_connect(
             endpoint, timeout_ms, allow_reuse=allow_reuse
         )
@@ -63,7 +63,7 @@
         withheld = self._gate.acquire(endpoint.name)
         if withheld is not None:
             connection.close()
-            raise HeldError(withheld)
+            raise EndpointWithheldError(withheld)
         return connection
 
     def release(
