--- a/wingfall/gateway/calls/attempt.py
+++ b/wingfall/gateway/calls/attempt.py
@@ -19,7 +19,7 @@
     BufferedAnswer,
 )
 from wingfall.gateway.endpoints.endpoint_connection import (
-    AnswerBrokenError,
+    BrokenAnswerError,
     AnswerLateError,
     EndpointWithheldError,
     NotConnectedError,
@@ -109,7 +109,7 @@
             is_withheld = isinstance(error, EndpointWithheldError)
             end = AttemptEnd.held if is_withheld else AttemptEnd.not_sent
             return AttemptOutcome(end=end, reason=str(error))
-        except AnswerBrokenError as error:
+        except BrokenAnswerError as error:
             return AttemptOutcome(end=self._broken_end(), reason=str(error))
         except AnswerLateError:
             return AttemptOutcome(
@@ -156,11 +156,11 @@
         headers = response.headers.raw_items()
         head = self._binding.read_answer(response.status_code, headers)
         if head.call_id != self._call.call_id and not head.not_run:
-            raise AnswerBrokenError(
+            raise BrokenAnswerError(
                 'the answer has the call id of another request'
             )
         if not head.valid:
-            raise AnswerBrokenError('the answer has an unknown encoding')
+            raise BrokenAnswerError('the answer has an unknown encoding')
         # Reported whether or not the answer is used: an endpoint may signal in
         # any answer that it needs relief, and all gateways must receive that.
         self._on_signals(head.signals, self._sent_ms)
@@ -188,7 +188,7 @@
             chunks.append(bytes(event.data))
             size += len(event.data)
             if size > _MAX_ANSWER_BYTES:
-                raise AnswerBrokenError('the answer is too large')
+                raise BrokenAnswerError('the answer is too large')
         self._release_connection()
         answer = BufferedAnswer(
             status=response.status_code,
@@ -215,7 +215,7 @@
             if events:
                 self._forward_events(response, events, splitter.last_event_id)
         if splitter.has_partial_event or not self._reply.started:
-            raise AnswerBrokenError('the stream ended inside an event')
+            raise BrokenAnswerError('the stream ended inside an event')
         self._release_connection()
         return AttemptOutcome(end=AttemptEnd.answered, reason='stream')
 
@@ -236,7 +236,7 @@
 
     def _receive(self, limits: AttemptLimits) -> h11.Event:
         if self._connection is None:
-            raise AnswerBrokenError('the attempt has no connection')
+            raise BrokenAnswerError('the attempt has no connection')
         until_ms = limits.deadline_ms
         if self._call.route.streaming and not self._reply.started:
             until_ms = limits.first_byte_ms
--- a/wingfall/gateway/endpoints/endpoint_connection.py
+++ b/wingfall/gateway/endpoints/endpoint_connection.py
@@ -52,7 +52,7 @@
     """The endpoint takes no request of this gateway now; nothing was sent."""
 
 
-class AnswerBrokenError(Exception):
+class BrokenAnswerError(Exception):
     """The answer is incomplete or violates the protocol."""
 
 
@@ -110,7 +110,7 @@
         :param target: path and query.
         :param headers: headers without those that frame the body.
         :param body: complete body.
-        :raises AnswerBrokenError: if the request can't be sent completely.
+        :raises BrokenAnswerError: if the request can't be sent completely.
         """
         framed = list(headers)
         if body or method not in {b'GET', b'HEAD', b'DELETE', b'OPTIONS'}:
@@ -118,18 +118,18 @@
         try:
             encoded = self._encode(method, target, framed, body)
         except h11.LocalProtocolError as error:
-            raise AnswerBrokenError(str(error)) from error
+            raise BrokenAnswerError(str(error)) from error
         if len(encoded) > _MAX_INLINE_WRITE_BYTES:
             self._writer = gevent.spawn(self._write, encoded)
         elif not self._write(encoded):
-            raise AnswerBrokenError('the request could not be written')
+            raise BrokenAnswerError('the request could not be written')
 
     def receive(self, timeout_ms: int) -> h11.Event:
         """Read the next event of the answer.
 
         :param timeout_ms: maximum milliseconds to wait for bytes.
         :returns: a response, data or the end of the message.
-        :raises AnswerBrokenError: if the answer ends early or is invalid.
+        :raises BrokenAnswerError: if the answer ends early or is invalid.
         :raises AnswerLateError: if no bytes arrive in time.
         """
         deadline_ms = self._clock.now_ms() + timeout_ms
@@ -139,7 +139,7 @@
                 self._read(deadline_ms - self._clock.now_ms())
             event = self._next_event()
         if isinstance(event, h11.ConnectionClosed):
-            raise AnswerBrokenError('closed without an answer')
+            raise BrokenAnswerError('closed without an answer')
         return event
 
     def release(self) -> bool:
@@ -197,7 +197,7 @@
         try:
             return self._http.next_event()
         except h11.RemoteProtocolError as error:
-            raise AnswerBrokenError(str(error)) from error
+            raise BrokenAnswerError(str(error)) from error
 
     def _read(self, timeout_ms: int) -> None:
         deadline_ms = self._clock.now_ms() + timeout_ms
@@ -210,7 +210,7 @@
         try:
             self._http.receive_data(received)
         except h11.RemoteProtocolError as error:
-            raise AnswerBrokenError(str(error)) from error
+            raise BrokenAnswerError(str(error)) from error
 
     def _receive_within(self, timeout_ms: int) -> bytes | None:
         self._socket.settimeout(timeout_ms / MS_PER_S)
@@ -219,10 +219,10 @@
         except TimeoutError as error:
             # An errno means that the kernel found the machine unresponsive.
             if error.errno:
-                raise AnswerBrokenError(str(error)) from error
+                raise BrokenAnswerError(str(error)) from error
             return None
         except OSError as error:
-            raise AnswerBrokenError(str(error)) from error
+            raise BrokenAnswerError(str(error)) from error
 
 
 def _is_interim(event: h11.Event) -> bool:
--- a/wingfall/gateway/peers/caches/memory_survey.py
+++ b/wingfall/gateway/peers/caches/memory_survey.py
@@ -20,7 +20,7 @@
 
 from wingfall.clock import MS_PER_S
 from wingfall.gateway.endpoints.endpoint_connection import (
-    AnswerBrokenError,
+    BrokenAnswerError,
     AnswerLateError,
     NotConnectedError,
 )
@@ -158,7 +158,7 @@
                 allow_reuse=False,
             )
             answer = self._send_request(engine, connection)
-        except (NotConnectedError, AnswerBrokenError, AnswerLateError) as error:
+        except (NotConnectedError, BrokenAnswerError, AnswerLateError) as error:
             if connection is not None:
                 connection.close()
             return Failure(f'{type(error).__name__} {error}')
@@ -183,7 +183,7 @@
                 break
             body += bytes(event.data)
             if len(body) > _MAX_ANSWER_BYTES:
-                raise AnswerBrokenError('answer exceeds the size limit')
+                raise BrokenAnswerError('answer exceeds the size limit')
         if response.status_code != http.HTTPStatus.OK:
             return Failure(f'status {response.status_code}')
         return Success(body)
