--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -10,7 +10,7 @@
 
 from wingfall.clock import Clock, ManualClock
 from wingfall.gateway.endpoints.endpoint_connection import (
-    AnswerLateError,
+    AnswerTimeoutError,
     EndpointConnection,
 )
 
@@ -38,7 +38,7 @@
     # The timeout of the answer passes during the suspension, while timers of
     # the event loop stop.
     gevent.spawn_later(0.1, clock.advance, SUSPENDED_MS)
-    with pytest.raises(AnswerLateError):
+    with pytest.raises(AnswerTimeoutError):
         connection.receive(SUSPENDED_MS)
     assert time.monotonic() - started_s < 2
     connection.close()
--- a/wingfall/gateway/calls/attempt.py
+++ b/wingfall/gateway/calls/attempt.py
@@ -20,7 +20,7 @@
 )
 from wingfall.gateway.endpoints.endpoint_connection import (
     BrokenAnswerError,
-    AnswerLateError,
+    AnswerTimeoutError,
     EndpointWithheldError,
     NotConnectedError,
 )
@@ -111,7 +111,7 @@
             return AttemptOutcome(end=end, reason=str(error))
         except BrokenAnswerError as error:
             return AttemptOutcome(end=self._broken_end(), reason=str(error))
-        except AnswerLateError:
+        except AnswerTimeoutError:
             return AttemptOutcome(
                 end=self._late_end(), reason='no bytes in time'
             )
--- a/wingfall/gateway/endpoints/endpoint_connection.py
+++ b/wingfall/gateway/endpoints/endpoint_connection.py
@@ -56,7 +56,7 @@
     """The answer is incomplete or violates the protocol."""
 
 
-class AnswerLateError(Exception):
+class AnswerTimeoutError(Exception):
     """No bytes were received within the timeout."""
 
 
@@ -130,7 +130,7 @@
         :param timeout_ms: maximum milliseconds to wait for bytes.
         :returns: a response, data or the end of the message.
         :raises BrokenAnswerError: if the answer ends early or is invalid.
-        :raises AnswerLateError: if no bytes arrive in time.
+        :raises AnswerTimeoutError: if no bytes arrive in time.
         """
         deadline_ms = self._clock.now_ms() + timeout_ms
         event = self._next_event()
@@ -205,7 +205,7 @@
         while received is None:
             remaining_ms = deadline_ms - self._clock.now_ms()
             if remaining_ms <= 0:
-                raise AnswerLateError
+                raise AnswerTimeoutError
             received = self._receive_within(min(remaining_ms, _MAX_WAIT_MS))
         try:
             self._http.receive_data(received)
--- a/wingfall/gateway/peers/caches/memory_survey.py
+++ b/wingfall/gateway/peers/caches/memory_survey.py
@@ -21,7 +21,7 @@
 from wingfall.clock import MS_PER_S
 from wingfall.gateway.endpoints.endpoint_connection import (
     BrokenAnswerError,
-    AnswerLateError,
+    AnswerTimeoutError,
     NotConnectedError,
 )
 from wingfall.log import log_event
@@ -158,7 +158,7 @@
                 allow_reuse=False,
             )
             answer = self._send_request(engine, connection)
-        except (NotConnectedError, BrokenAnswerError, AnswerLateError) as error:
+        except (NotConnectedError, BrokenAnswerError, AnswerTimeoutError) as error:
             if connection is not None:
                 connection.close()
             return Failure(f'{type(error).__name__} {error}')
