--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -10,7 +10,7 @@
 
 from tests.local_site import wait_until
 from wingfall.clock import ManualClock
-from wingfall.gateway.endpoints.crash_watch import CrashDetector
+from wingfall.gateway.endpoints.crash_detector import CrashDetector
 from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
 from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 from wingfall.metrics import Metrics
--- a/wingfall/gateway/assembly.py
+++ b/wingfall/gateway/assembly.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any, Final
 
 from wingfall.clock import MS_PER_S
-from wingfall.gateway.endpoints.crash_watch import CrashDetector
+from wingfall.gateway.endpoints.crash_detector import CrashDetector
 from wingfall.gateway.endpoints.kept_connections import KeptConnections
 from wingfall.gateway.endpoints.sending_gate import SendingGate
 from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
@@ -94,7 +94,7 @@
             clock=clock,
             ledger=knowledge.crashes,
         ),
-        crash_watch=CrashDetector(
+        crash_detector=CrashDetector(
             name=settings.name,
             clock=clock,
             knowledge=knowledge,
--- a/wingfall/gateway/calls/attempt_tracker.py
+++ b/wingfall/gateway/calls/attempt_tracker.py
@@ -159,9 +159,9 @@
         if outcome.succeeded:
             state.knowledge.crashes.note_served(fingerprint)
         elif is_abandoned and self._first_output_ms is None:
-            state.crash_watch.note_abandoned(endpoint, fingerprint)
+            state.crash_detector.note_abandoned(endpoint, fingerprint)
         elif outcome.end in _BROKEN_ENDS and not is_abandoned:
-            state.crash_watch.note_broken(
+            state.crash_detector.note_broken(
                 endpoint, fingerprint, self._output_duration_ms()
             )
 
--- a/wingfall/gateway/state.py
+++ b/wingfall/gateway/state.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from wingfall.clock import Clock
-    from wingfall.gateway.endpoints.crash_watch import CrashDetector
+    from wingfall.gateway.endpoints.crash_detector import CrashDetector
     from wingfall.gateway.endpoints.kept_connections import KeptConnections
     from wingfall.gateway.endpoints.sending_gate import SendingGate
     from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
@@ -36,7 +36,7 @@
         'budget',
         'clock',
         'connections',
-        'crash_watch',
+        'crash_detector',
         'draining',
         'fair_shares',
         'gate',
@@ -62,7 +62,7 @@
         knowledge: EndpointKnowledge,
         connections: KeptConnections,
         blocks: RequestBlocks,
-        crash_watch: CrashDetector,
+        crash_detector: CrashDetector,
         gate: SendingGate,
     ) -> None:
         """Join the parts; there is no configuration yet.
@@ -76,7 +76,7 @@
         :param knowledge: what is known of endpoints.
         :param connections: idle connections to endpoints.
         :param blocks: bounds requests that end their endpoints.
-        :param crash_watch: notices endpoints that crash.
+        :param crash_detector: notices endpoints that crash.
         :param gate: asks what endpoints have said before a request is sent.
         """
         self.zone = zone
@@ -88,7 +88,7 @@
         self.knowledge = knowledge
         self.connections = connections
         self.blocks = blocks
-        self.crash_watch = crash_watch
+        self.crash_detector = crash_detector
         self.gate = gate
         # What callers were told when no endpoint of their pool took a request.
         self.deferred_calls = DeferredCalls()
