--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -24,7 +24,7 @@
 from tools.fleet import free_port
 from wingfall.clock import ManualClock
 from wingfall.gateway.configuration.object_applier import ObjectApplier
-from wingfall.gateway.endpoints.kept_connections import KeptConnections
+from wingfall.gateway.endpoints.kept_connections import ConnectionCache
 from wingfall.gateway.endpoints.sending_gate import SendingGate
 from wingfall.gateway.knowledge import endpoint_incarnations
 from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
@@ -240,7 +240,7 @@
         signals=EndpointSignals(name='g1', clock=clock),
         rate_share=share_among_few,
     )
-    kept = KeptConnections(clock=clock, gate=gate)
+    kept = ConnectionCache(clock=clock, gate=gate)
     first = started(FIRST_MS, address=server.address)
     again = started(LATER_MS, address=server.address)
     connection = kept.acquire(first, timeout_ms=1000, allow_reuse=True)
--- a/tests/test_sending_gate.py
+++ b/tests/test_sending_gate.py
@@ -10,7 +10,7 @@
 from tests.local_site import wait_until
 from wingfall.clock import ManualClock
 from wingfall.gateway.endpoints.endpoint_connection import EndpointWithheldError
-from wingfall.gateway.endpoints.kept_connections import KeptConnections
+from wingfall.gateway.endpoints.kept_connections import ConnectionCache
 from wingfall.gateway.endpoints.sending_gate import SendingGate
 from wingfall.gateway.knowledge.endpoint_signals import EndpointSignals
 from wingfall.gateway.model.answer_signals import AnswerSignals
@@ -99,7 +99,7 @@
     gate: SendingGate, signals: EndpointSignals, clock: ManualClock
 ):
     signals.note_answer(ENDPOINT, AnswerSignals(rate=1), 900)
-    connections = KeptConnections(clock=clock, gate=gate)
+    connections = ConnectionCache(clock=clock, gate=gate)
     endpoint = PoolEndpoint(
         name=ENDPOINT,
         pool='engines',
--- a/wingfall/gateway/assembly.py
+++ b/wingfall/gateway/assembly.py
@@ -6,7 +6,7 @@
 
 from wingfall.clock import MS_PER_S
 from wingfall.gateway.endpoints.crash_detector import CrashDetector
-from wingfall.gateway.endpoints.kept_connections import KeptConnections
+from wingfall.gateway.endpoints.kept_connections import ConnectionCache
 from wingfall.gateway.endpoints.sending_gate import SendingGate
 from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
 from wingfall.gateway.knowledge.full_gaps import FullGaps
@@ -87,7 +87,7 @@
             window_ms=int(settings.resend.window_s * MS_PER_S),
         ),
         knowledge=knowledge,
-        connections=KeptConnections(clock=clock, gate=gate),
+        connections=ConnectionCache(clock=clock, gate=gate),
         gate=gate,
         blocks=RequestBlocks(
             name=settings.name,
--- a/wingfall/gateway/calls/attempt.py
+++ b/wingfall/gateway/calls/attempt.py
@@ -34,7 +34,7 @@
     from wingfall.gateway.endpoints.endpoint_connection import (
         EndpointConnection,
     )
-    from wingfall.gateway.endpoints.kept_connections import KeptConnections
+    from wingfall.gateway.endpoints.kept_connections import ConnectionCache
     from wingfall.gateway.model.answer_signals import AnswerSignals
     from wingfall.gateway.model.binding import AnswerHead, Binding
     from wingfall.gateway.model.call import Call, Headers
@@ -69,7 +69,7 @@
         destination: Destination,
         reply: Reply,
         binding: Binding,
-        connections: KeptConnections,
+        connections: ConnectionCache,
         now_ms: Callable[[], int],
         on_output: Callable[[], None],
         on_signals: Callable[[AnswerSignals, int], None],
--- a/wingfall/gateway/endpoints/kept_connections.py
+++ b/wingfall/gateway/endpoints/kept_connections.py
@@ -20,7 +20,7 @@
 
 
 @final
-class KeptConnections:
+class ConnectionCache:
     """Idle connections to endpoints; the newest is reused first."""
 
     __slots__ = ('_clock', '_gate', '_idle')
