--- a/wingfall/gateway/calls/held_pool.py
+++ b/wingfall/gateway/calls/held_pool.py
@@ -35,7 +35,7 @@
     if not withheld:
         return None
     slots = _describe_slots(state, withheld)
-    reasons = {name: state.gate.why_held(name) for name in withheld}
+    reasons = {name: state.gate.withheld_reason(name) for name in withheld}
     now_ms = state.clock.now_ms()
     retry_ms = state.deferred_calls.defer(pool, call.priority, slots, now_ms)
     log_event(
@@ -72,7 +72,7 @@
     :returns: outcome of the attempt, None if it may start.
     """
     name = destination.endpoint.name
-    reason = state.gate.why_held(name)
+    reason = state.gate.withheld_reason(name)
     if reason is None:
         return None
     log_event(
@@ -104,7 +104,7 @@
         for each in state.knowledge.table.usable(pool)
         if state.gate.is_withheld(each.name, exclude_limited=True)
         # A leaving endpoint takes no more requests.
-        and state.gate.why_held(each.name) is not Held.leaving
+        and state.gate.withheld_reason(each.name) is not Held.leaving
     ]
 
 
--- a/wingfall/gateway/calls/stream_continuation.py
+++ b/wingfall/gateway/calls/stream_continuation.py
@@ -75,7 +75,7 @@
         return None
     if state.knowledge.health.is_ejected(backup.name):
         return None
-    if state.gate.why_held(backup.name) is not None:
+    if state.gate.withheld_reason(backup.name) is not None:
         return None
     demand = describe_demand(call)
     candidate = describe_endpoint(state, call, listed)
--- a/wingfall/gateway/endpoints/kept_connections.py
+++ b/wingfall/gateway/endpoints/kept_connections.py
@@ -53,7 +53,7 @@
         """
         # Every request to an endpoint passes here, so its limits also count
         # retries, resumed streams and requests of the gateway itself.
-        withheld = self._gate.why_held(endpoint.name)
+        withheld = self._gate.withheld_reason(endpoint.name)
         if withheld is not None:
             raise EndpointWithheldError(withheld)
         connection = self._reuse_or_connect(
--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -121,7 +121,7 @@
             self._gateway_count = gateway_count
             self._shares.clear()
 
-    def why_held(self, endpoint: str) -> Held | None:
+    def withheld_reason(self, endpoint: str) -> Held | None:
         """Return the reason why an endpoint takes no request now.
 
         :param endpoint: name of the endpoint.
@@ -146,7 +146,7 @@
         :param endpoint: name of the endpoint.
         :returns: the reason why it must not be sent, None if it may be sent.
         """
-        withheld = self.why_held(endpoint)
+        withheld = self.withheld_reason(endpoint)
         if withheld is not None:
             return withheld
         now_ms = self._clock.now_ms()
@@ -210,7 +210,7 @@
         """
         if exclude_limited and self.is_limited(endpoint):
             return True
-        return self.why_held(endpoint) is not None
+        return self.withheld_reason(endpoint) is not None
 
     def retain_only(self, listed: Iterable[str]) -> None:
         """Drop the state of unlisted endpoints.
