--- a/wingfall/gateway/calls/held_pool.py
+++ b/wingfall/gateway/calls/held_pool.py
@@ -110,7 +110,7 @@
 
 def _describe_slots(state: GatewayState, withheld: list[str]) -> AdmissionSlots:
     gate = state.gate
-    rate = sum(gate.rate_of_all(name) for name in withheld)
+    rate = sum(gate.total_rate(name) for name in withheld)
     interval_ms = MS_PER_S * len(gate.gateways) / rate
     # Capacity that is free now is reserved for a more urgent call.
     first_ms = min(gate.opens_in_ms(name) for name in withheld) or interval_ms
--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -170,7 +170,7 @@
             or self._ramp_up(endpoint, now_ms) is not None
         )
 
-    def rate_of_all(self, endpoint: str) -> float:
+    def total_rate(self, endpoint: str) -> float:
         """Return the request rate that an endpoint takes from all gateways.
 
         :param endpoint: name of the endpoint.
@@ -197,7 +197,7 @@
         if bucket is None:
             return rest_ms
         own_ms = bucket.ready_in_ms(now_ms)
-        limit_ms = min(own_ms, MS_PER_S / self.rate_of_all(endpoint))
+        limit_ms = min(own_ms, MS_PER_S / self.total_rate(endpoint))
         return max(rest_ms, limit_ms)
 
     def is_withheld(self, endpoint: str, *, exclude_limited: bool) -> bool:
