--- a/tests/test_sending_gate.py
+++ b/tests/test_sending_gate.py
@@ -170,7 +170,7 @@
             name=name, clock=clock, signals=signals, rate_share=share_among_few
         )
         signals.note_answer(ENDPOINT, AnswerSignals(rest_ms=1000), 900)
-        ready_times_ms.add(gate.opens_in_ms(ENDPOINT))
+        ready_times_ms.add(gate.ready_in_ms(ENDPOINT))
     assert len(ready_times_ms) > 10
     assert max(ready_times_ms) - min(ready_times_ms) > 100
 
--- a/wingfall/gateway/calls/held_pool.py
+++ b/wingfall/gateway/calls/held_pool.py
@@ -113,5 +113,5 @@
     rate = sum(gate.total_rate(name) for name in withheld)
     interval_ms = MS_PER_S * len(gate.gateways) / rate
     # Capacity that is free now is reserved for a more urgent call.
-    first_ms = min(gate.opens_in_ms(name) for name in withheld) or interval_ms
+    first_ms = min(gate.ready_in_ms(name) for name in withheld) or interval_ms
     return AdmissionSlots(first_ms=first_ms, interval_ms=interval_ms)
--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -182,7 +182,7 @@
             return RAMP_UP_RATE * len(self._gateways)
         return max(_MIN_REQUESTS_PER_S, limit.rate)
 
-    def opens_in_ms(self, endpoint: str) -> float:
+    def ready_in_ms(self, endpoint: str) -> float:
         """Estimate when an endpoint takes a request of any gateway again.
 
         A caller may retry at any gateway.
