--- a/wingfall/gateway/peers/objects/object_exchange.py
+++ b/wingfall/gateway/peers/objects/object_exchange.py
@@ -14,7 +14,7 @@
     OutgoingTransfer,
     pack_objects,
     read_objects,
-    write_spec,
+    encode_spec,
 )
 from wingfall.log import log_event
 from wingfall.supervisor import Backoff
@@ -146,7 +146,7 @@
             self._send_chunk(session, fetch, replica)
             return
         objects = [
-            [each.name, each.revision, write_spec(each)]
+            [each.name, each.revision, encode_spec(each)]
             for each in replica.since(fetch.revision)
         ]
         page = ObjectsPage(
--- a/wingfall/gateway/peers/objects/object_transfer.py
+++ b/wingfall/gateway/peers/objects/object_transfer.py
@@ -114,7 +114,7 @@
     :param objects: the objects, oldest first.
     :returns: the compressed bytes.
     """
-    entries = [[each.name, each.revision, write_spec(each)] for each in objects]
+    entries = [[each.name, each.revision, encode_spec(each)] for each in objects]
     return zlib.compress(msgpack.packb(entries), _ZLIB_LEVEL)
 
 
@@ -136,7 +136,7 @@
     return read_objects(entries)
 
 
-def write_spec(stored: StoredObject) -> bytes | None:
+def encode_spec(stored: StoredObject) -> bytes | None:
     """Encode the spec of an object as JSON.
 
     :param stored: the object.
