--- a/tests/test_stored_objects.py
+++ b/tests/test_stored_objects.py
@@ -27,7 +27,7 @@
 from wingfall.gateway.model.prompt import PromptPart
 from wingfall.gateway.peers.objects.object_transfer import (
     pack_objects,
-    read_objects,
+    decode_objects,
     unpack_objects,
 )
 from wingfall.metrics import Metrics
@@ -195,7 +195,7 @@
 @given(entries=ANY | st.lists(st.tuples(st.text(), ANY, st.binary())))
 def test_whole_objects_of_a_peer_are_read_or_a_broken_protocol(entries: Any):
     with contextlib.suppress(WireError):
-        read_objects(entries)
+        decode_objects(entries)
 
 
 def test_entry_too_deep_to_be_passed_on_is_told_as_none():
--- a/wingfall/gateway/peers/objects/object_exchange.py
+++ b/wingfall/gateway/peers/objects/object_exchange.py
@@ -13,7 +13,7 @@
 from wingfall.gateway.peers.objects.object_transfer import (
     OutgoingTransfer,
     pack_objects,
-    read_objects,
+    decode_objects,
     encode_spec,
 )
 from wingfall.log import log_event
@@ -164,7 +164,7 @@
         :raises WireError: if the objects cannot be decoded.
         """
         if not page.size:
-            objects = read_objects(page.objects)
+            objects = decode_objects(page.objects)
             reading = StoreReading(revision=page.revision, objects=objects)
             self._apply(session, page.kind, reading, 0)
             return
--- a/wingfall/gateway/peers/objects/object_transfer.py
+++ b/wingfall/gateway/peers/objects/object_transfer.py
@@ -133,7 +133,7 @@
         entries = msgpack.unpackb(raw)
     except _DECODE_ERRORS as error:
         raise WireError(f'objects that can not be read: {error}') from error
-    return read_objects(entries)
+    return decode_objects(entries)
 
 
 def encode_spec(stored: StoredObject) -> bytes | None:
@@ -151,7 +151,7 @@
         return orjson.dumps(_UNENCODABLE_SPEC)
 
 
-def read_objects(entries: Any) -> list[StoredObject]:
+def decode_objects(entries: Any) -> list[StoredObject]:
     """Decode the objects of a message.
 
     :param entries: name, revision and JSON of each object, None as the JSON of
