--- a/wingfall/gateway/peers/caches/memory_survey.py
+++ b/wingfall/gateway/peers/caches/memory_survey.py
@@ -62,7 +62,7 @@
 
 
 @final
-class MemorySurvey:
+class CacheSurvey:
     """Queries engines that ran before this gateway started."""
 
     __slots__ = (
