--- a/wingfall/gateway/peers/caches/parts_transfer.py
+++ b/wingfall/gateway/peers/caches/parts_transfer.py
@@ -131,7 +131,7 @@
         :param page: answer of the peer.
         """
         for endpoint, *parts in page.parts:
-            self._caches.find(endpoint).note(read_parts(parts))
+            self._caches.find(endpoint).note(decode_parts(parts))
         self.knows_caches = True
         self._backoff.reset()
         log_event(
@@ -173,7 +173,7 @@
         )
 
 
-def read_parts(raw: Iterable[list[Any]]) -> list[PromptPart]:
+def decode_parts(raw: Iterable[list[Any]]) -> list[PromptPart]:
     """Decode the prompt parts of a message.
 
     :param raw: id and tokens of each part.
--- a/wingfall/gateway/peers/loads/load_entries.py
+++ b/wingfall/gateway/peers/loads/load_entries.py
@@ -11,7 +11,7 @@
 
 from wingfall.gateway.knowledge.endpoint_health import Outcomes
 from wingfall.gateway.knowledge.load import EndpointLoad
-from wingfall.gateway.peers.caches.parts_transfer import read_parts
+from wingfall.gateway.peers.caches.parts_transfer import decode_parts
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -171,7 +171,7 @@
         knowledge.note_prompt_sent(endpoint, unread)
         # An estimate: the peer sees the first event, but does not report it.
         ready_ms = knowledge.ready_ms(endpoint) if unread else 0
-        knowledge.caches.find(endpoint).note(read_parts(parts), ready_ms)
+        knowledge.caches.find(endpoint).note(decode_parts(parts), ready_ms)
 
 
 def _decode_load(
