--- a/wingfall/gateway/peers/gateway_peers.py
+++ b/wingfall/gateway/peers/gateway_peers.py
@@ -16,7 +16,7 @@
 from wingfall.clock import MS_PER_S
 from wingfall.errors import WireError
 from wingfall.gateway.peers.heartbeat_schedule import TICK_MS, silence_timeout_ms
-from wingfall.gateway.peers.heartbeats import Heartbeats, NewsKind
+from wingfall.gateway.peers.heartbeats import Heartbeats, UpdateKind
 from wingfall.gateway.peers.objects.object_exchange import ObjectExchange
 from wingfall.gateway.peers.peer_addresses import PeerAddresses
 from wingfall.gateway.peers.peer_dialer import PeerDialer
@@ -157,7 +157,7 @@
         self._update_bounds()
         self._server.start()
         self._supervisor.start('heartbeats', self._send_heartbeats)
-        for kind in NewsKind:
+        for kind in UpdateKind:
             body = functools.partial(self._send_updates_forever, kind)
             self._supervisor.start(kind, body)
         self._supervisor.start('dials', self._dial_forever)
@@ -264,7 +264,7 @@
         self._metrics.links.set({}, len(self._sessions))
         self._bounds.note_sessions(self._sessions, self._addresses.count)
 
-    def _send_updates_forever(self, kind: NewsKind) -> None:
+    def _send_updates_forever(self, kind: UpdateKind) -> None:
         while not self._supervisor.stopped:
             self._heartbeats.tell_news(kind)
 
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -16,7 +16,7 @@
 from wingfall.gateway.peers.loads.load_entries import Activity
 from wingfall.gateway.peers.loads.load_exchange import LoadExchange
 from wingfall.gateway.peers.news_exchange import (
-    NewsKind,
+    UpdateKind,
     PeerUpdates,
     UpdateExchange,
 )
@@ -190,7 +190,7 @@
         self._loads.relay_zone_loads(sessions, whole=due is HeartbeatDue.whole)
         self.tell_duties(sessions)
 
-    def tell_news(self, kind: NewsKind) -> None:
+    def tell_news(self, kind: UpdateKind) -> None:
         """Wait for updates and send them to the peers of all zones.
 
         :param kind: the kind of update to wait for.
--- a/wingfall/gateway/peers/news_exchange.py
+++ b/wingfall/gateway/peers/news_exchange.py
@@ -19,7 +19,7 @@
 
 
 @final
-class NewsKind(enum.StrEnum):
+class UpdateKind(enum.StrEnum):
     """Kind of update that is sent to all peers at once."""
 
     crashes = 'crashes'
@@ -77,13 +77,13 @@
         """The digest of the recent signals of endpoints."""
         return self._signals.recent_digest
 
-    def wait(self, kind: NewsKind) -> PeerUpdates:
+    def wait(self, kind: UpdateKind) -> PeerUpdates:
         """Wait for updates that this gateway has not sent.
 
         :param kind: the kind of update to wait for.
         :returns: the updates.
         """
-        if kind is NewsKind.crashes:
+        if kind is UpdateKind.crashes:
             self._crashes.wait()
             return PeerUpdates(crashes=self._crashes.take_unreported())
         self._signals.wait()
