--- a/wingfall/gateway/peers/gateway_peers.py
+++ b/wingfall/gateway/peers/gateway_peers.py
@@ -266,7 +266,7 @@
 
     def _send_updates_forever(self, kind: UpdateKind) -> None:
         while not self._supervisor.stopped:
-            self._heartbeats.tell_news(kind)
+            self._heartbeats.send_updates(kind)
 
     def _send_heartbeats(self) -> None:
         while not self._supervisor.stopped:
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -190,7 +190,7 @@
         self._loads.relay_zone_loads(sessions, whole=due is HeartbeatDue.whole)
         self.tell_duties(sessions)
 
-    def tell_news(self, kind: UpdateKind) -> None:
+    def send_updates(self, kind: UpdateKind) -> None:
         """Wait for updates and send them to the peers of all zones.
 
         :param kind: the kind of update to wait for.
