--- a/wingfall/gateway/peers/gateway_peers.py
+++ b/wingfall/gateway/peers/gateway_peers.py
@@ -177,7 +177,7 @@
     def send_final_counts(self) -> None:
         """Send unreported usage counts to peers before the process ends."""
         sessions = list(self._sessions.values())
-        self._heartbeats.tell_duties(sessions, at_once=True)
+        self._heartbeats.send_duties(sessions, at_once=True)
 
     def stop(self) -> None:
         """Close the port and all connections."""
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -188,7 +188,7 @@
                 whole=due is HeartbeatDue.whole,
             )
         self._loads.relay_zone_loads(sessions, whole=due is HeartbeatDue.whole)
-        self.tell_duties(sessions)
+        self.send_duties(sessions)
 
     def send_updates(self, kind: UpdateKind) -> None:
         """Wait for updates and send them to the peers of all zones.
@@ -221,7 +221,7 @@
         self._sent_revisions = self._exchange.revisions
         self._sent_watching = heartbeat.watching
 
-    def tell_duties(
+    def send_duties(
         self,
         sessions: Collection[PeerSession],
         *,
