--- a/tests/test_crash_exchange.py
+++ b/tests/test_crash_exchange.py
@@ -50,7 +50,7 @@
             ['i-0123456789', 50, 'front-osl-a-1', silent, []]
             for _crash in range(crashes)
         ],
-        crash_sum=2**63 if crashes else 0,
+        crash_digest=2**63 if crashes else 0,
     )
 
 
@@ -185,7 +185,7 @@
     # The older version lacks the crashes and all fields after them.
     before = sent.fields()[: 1 + sent.__slots__.index('crashes')]
     read = build_message(before)
-    assert read.crash_sum == -1
+    assert read.crash_digest == -1
     assert not read.crashes
     # Unknown fields are ignored.
     more = build_message([*sent.fields(), 'of a later version'])
--- a/wingfall/gateway/peers/heartbeat_writer.py
+++ b/wingfall/gateway/peers/heartbeat_writer.py
@@ -93,7 +93,7 @@
             reach=self._loads.count_reached_zones(self._sessions),
             crashes=updates.crashes.crashes,
             served=updates.crashes.served,
-            crash_sum=self._updates.crash_digest,
+            crash_digest=self._updates.crash_digest,
             duties=duties,
             limits=updates.signals.limits,
             leavings=updates.signals.leavings,
--- a/wingfall/gateway/peers/news_exchange.py
+++ b/wingfall/gateway/peers/news_exchange.py
@@ -127,7 +127,7 @@
         )
         return PeerUpdates(
             crashes=self._crashes.answer_digest(
-                session, heartbeat.crash_sum, sessions
+                session, heartbeat.crash_digest, sessions
             ),
             signals=self._signals.answer_digest(
                 session, heartbeat.signal_sum, sessions
--- a/wingfall/wire/gateway_messages.py
+++ b/wingfall/wire/gateway_messages.py
@@ -82,7 +82,7 @@
         'reach',
         'crashes',
         'served',
-        'crash_sum',
+        'crash_digest',
         'duties',
         'limits',
         'leavings',
@@ -106,7 +106,7 @@
         reach: int = 0,
         crashes: list[list[Any]] | None = None,
         served: list[list[Any]] | None = None,
-        crash_sum: int = -1,
+        crash_digest: int = -1,
         duties: list[Any] | None = None,
         limits: list[list[Any]] | None = None,
         leavings: list[list[Any]] | None = None,
@@ -137,7 +137,7 @@
             without output, and of those whose output had begun.
         :param served: fingerprints of requests beside a crash that were
             answered well, and how many milliseconds ago.
-        :param crash_sum: the same number for gateways that know the same
+        :param crash_digest: the same number for gateways that know the same
             crashes of the last minute; -1 from a program that knows none.
         :param duties: empty if nothing is told of them, else the last window
             that is reported, whether the sender holds the lease, its time of
@@ -171,7 +171,7 @@
         self.reach = reach
         self.crashes = crashes or []
         self.served = served or []
-        self.crash_sum = crash_sum
+        self.crash_digest = crash_digest
         self.duties = duties or []
         self.limits = limits or []
         self.leavings = leavings or []
