--- a/tests/test_signal_exchange.py
+++ b/tests/test_signal_exchange.py
@@ -30,7 +30,7 @@
     return SignalExchange(clock=clock, signals=signals), signals
 
 
-def heartbeat(updates: SignalUpdates, signal_sum: int = 0) -> GatewayHeartbeat:
+def heartbeat(updates: SignalUpdates, signal_digest: int = 0) -> GatewayHeartbeat:
     """Return a heartbeat that carries updates."""
     return GatewayHeartbeat(
         revisions={'routes': 1, 'endpoints': 1},
@@ -41,7 +41,7 @@
         watching=False,
         limits=updates.limits,
         leavings=updates.leavings,
-        signal_sum=signal_sum,
+        signal_digest=signal_digest,
     )
 
 
@@ -108,7 +108,7 @@
     sent = heartbeat(sender.take_unreported(), sender.recent_digest)
     before = sent.fields()[: 1 + sent.__slots__.index('limits')]
     read = build_message(before)
-    assert read.signal_sum == -1
+    assert read.signal_digest == -1
     assert not read.limits
     more = build_message([*sent.fields(), 'of a later version'])
     assert more.fields() == sent.fields()
--- a/wingfall/gateway/peers/heartbeat_writer.py
+++ b/wingfall/gateway/peers/heartbeat_writer.py
@@ -97,7 +97,7 @@
             duties=duties,
             limits=updates.signals.limits,
             leavings=updates.signals.leavings,
-            signal_sum=self._updates.signal_digest,
+            signal_digest=self._updates.signal_digest,
             readings=activity.readings,
             work=activity.work,
             gaps=activity.gaps,
--- a/wingfall/gateway/peers/news_exchange.py
+++ b/wingfall/gateway/peers/news_exchange.py
@@ -130,6 +130,6 @@
                 session, heartbeat.crash_digest, sessions
             ),
             signals=self._signals.answer_digest(
-                session, heartbeat.signal_sum, sessions
+                session, heartbeat.signal_digest, sessions
             ),
         )
--- a/wingfall/wire/gateway_messages.py
+++ b/wingfall/wire/gateway_messages.py
@@ -86,7 +86,7 @@
         'duties',
         'limits',
         'leavings',
-        'signal_sum',
+        'signal_digest',
         'readings',
         'work',
         'gaps',
@@ -110,7 +110,7 @@
         duties: list[Any] | None = None,
         limits: list[list[Any]] | None = None,
         leavings: list[list[Any]] | None = None,
-        signal_sum: int = -1,
+        signal_digest: int = -1,
         readings: list[list[Any]] | None = None,
         work: list[list[Any]] | None = None,
         gaps: list[list[Any]] | None = None,
@@ -149,7 +149,7 @@
             answer was heard, and the gateway that heard it.
         :param leavings: endpoints that said that they leave: name, how many
             milliseconds ago, and the gateway that heard it.
-        :param signal_sum: the same number for gateways that know the same of
+        :param signal_digest: the same number for gateways that know the same of
             these; -1 from a program that knows none.
         :param readings: how fast engines read lately: name of the engine, then
             tenths of a token a millisecond, one number a reading; below
@@ -175,7 +175,7 @@
         self.duties = duties or []
         self.limits = limits or []
         self.leavings = leavings or []
-        self.signal_sum = signal_sum
+        self.signal_digest = signal_digest
         self.readings = readings or []
         self.work = work or []
         self.gaps = gaps or []
