--- a/wingfall/gateway/peers/heartbeat_schedule.py
+++ b/wingfall/gateway/peers/heartbeat_schedule.py
@@ -52,7 +52,7 @@
     return max(_MIN_SILENCE_MS, heartbeat_interval_ms(peers) * _MIN_SILENCE_INTERVALS)
 
 
-def seen_within_ms(peers: int) -> int:
+def max_seen_age_ms(peers: int) -> int:
     """Return the time within which a healthy peer sends a heartbeat.
 
     :param peers: number of peers to which that peer sends.
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -10,7 +10,7 @@
 
 from typing import TYPE_CHECKING, Any, Final, final
 
-from wingfall.gateway.peers.heartbeat_schedule import seen_within_ms
+from wingfall.gateway.peers.heartbeat_schedule import max_seen_age_ms
 from wingfall.gateway.peers.loads.load_entries import (
     Activity,
     note_activity,
@@ -88,7 +88,7 @@
         :param sessions: sessions with the connected peers.
         :returns: number of other zones.
         """
-        within_ms = seen_within_ms(len(sessions))
+        within_ms = max_seen_age_ms(len(sessions))
         oldest_ms = self._clock.now_ms() - within_ms
         reached = {
             each.zone for each in sessions if each.last_seen_ms >= oldest_ms
--- a/wingfall/gateway/peers/loads/zone_relay.py
+++ b/wingfall/gateway/peers/loads/zone_relay.py
@@ -10,7 +10,7 @@
 
 from wingfall.gateway.peers.heartbeat_schedule import (
     heartbeat_interval_ms,
-    seen_within_ms,
+    max_seen_age_ms,
 )
 from wingfall.gateway.peers.loads.load_entries import (
     IDLE_LOAD,
@@ -94,7 +94,7 @@
         """
         now_ms = self._clock.now_ms()
         near = [each for each in sessions if each.zone == self._zone]
-        seen_since_ms = now_ms - seen_within_ms(len(sessions))
+        seen_since_ms = now_ms - max_seen_age_ms(len(sessions))
         self._update_relay(
             find_relay(near, seen_since_ms),
             reach,
--- a/wingfall/gateway/peers/peer_view.py
+++ b/wingfall/gateway/peers/peer_view.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, final
 
 from wingfall.gateway.duties.standing import Peering
-from wingfall.gateway.peers.heartbeat_schedule import seen_within_ms
+from wingfall.gateway.peers.heartbeat_schedule import max_seen_age_ms
 from wingfall.gateway.peers.watch_duty import (
     WATCHER_COUNT,
     WatchDuty,
@@ -55,13 +55,13 @@
         a moment is replaced by the next gateway in the order.
         """
         # Watchers send each second, however many gateways there are.
-        before = self._preceding_peers(seen_within_ms(1))
+        before = self._preceding_peers(max_seen_age_ms(1))
         return self._watch_duty.should_watch(before, self._clock.now_ms())
 
     @property
     def is_among_first(self) -> bool:
         """Whether this gateway is among the first to retry a lost store."""
-        within_ms = seen_within_ms(len(self._sessions))
+        within_ms = max_seen_age_ms(len(self._sessions))
         return len(self._preceding_peers(within_ms)) < WATCHER_COUNT
 
     def snapshot(self) -> Peering:
@@ -70,7 +70,7 @@
         :returns: preceding, connected and known peers, and whether a
             connected peer holds the lease.
         """
-        within_ms = seen_within_ms(len(self._sessions))
+        within_ms = max_seen_age_ms(len(self._sessions))
         return Peering(
             before=len(self._preceding_peers(within_ms)),
             heard=frozenset(self._sessions),
