--- a/tests/test_call_rules.py
+++ b/tests/test_call_rules.py
@@ -309,11 +309,11 @@
 
 
 @pytest.mark.parametrize('name', TABLES)
-def test_rule_says_what_it_said(name: str):
+def test_rule_matches_golden_record(name: str):
     assert TABLES[name]() == orjson.loads(RECORD.read_bytes())[name]
 
 
-def test_attempt_that_was_held_leaves_the_call_as_it_was():
+def test_deferred_attempt_leaves_progress_unchanged():
     progress = CallProgress()
     progress.note('b', AttemptEnd.held)
     assert not progress.sent
@@ -328,21 +328,21 @@
     assert verdict is RetryDecision.never
 
 
-def test_small_pool_is_weighed_whole():
+def test_all_endpoints_of_small_pool_are_considered():
     endpoints = [make_endpoint(str(number)) for number in range(8)]
     assert list_considered(endpoints, []) == endpoints
     endpoints = [make_endpoint(str(number)) for number in range(24)]
     assert list_considered(endpoints, [], sample_size=24) == endpoints
 
 
-def test_more_endpoints_are_drawn_for_what_is_short():
+def test_sample_is_larger_for_short_prompts():
     assert [choose_sample_size(each) for each in (0, 4096)] == [24, 24]
     assert [choose_sample_size(each) for each in (4097, 17_000)] == [6, 6]
 
 
 @pytest.mark.parametrize('sample_size', [6, 24])
 @pytest.mark.parametrize('caching_count', [0, 5, 24, 60])
-def test_of_a_large_pool_some_are_weighed(caching_count: int, sample_size: int):
+def test_sample_of_large_pool_is_considered(caching_count: int, sample_size: int):
     endpoints = [make_endpoint(str(number)) for number in range(200)]
     caching = endpoints[:caching_count]
     considered = list_considered(endpoints, caching, sample_size)
@@ -353,7 +353,7 @@
     assert len(chosen) >= min(caching_count, 6)
 
 
-def test_keepers_that_drain_or_are_of_another_pool_are_not_weighed():
+def test_draining_or_foreign_caching_endpoints_are_not_considered():
     endpoints = [make_endpoint(str(number)) for number in range(100)]
     unusable = [make_endpoint('x', draining=True), make_endpoint('y', pool='q')]
     names = {each.name for each in list_considered(endpoints, unusable)}
@@ -369,7 +369,7 @@
         ([1, 1], {0, 1}),
     ],
 )
-def test_pools_are_drawn_by_weight(weights: list[int], expected: set[int]):
+def test_pools_are_chosen_by_weight(weights: list[int], expected: set[int]):
     pools = [
         WeightedPool(pool=str(number), weight=weight)
         for number, weight in enumerate(weights)
--- a/tests/test_caller_connection.py
+++ b/tests/test_caller_connection.py
@@ -49,7 +49,7 @@
     raise ZeroDivisionError('error in the placement policy')
 
 
-def test_fault_of_the_program_still_gets_a_final_answer(
+def test_internal_error_still_gets_a_final_response(
     gateway_site: GatewaySite,
     monkeypatch: pytest.MonkeyPatch,
 ):
@@ -76,7 +76,7 @@
     assert sockets[0].recv(1) == b''
 
 
-def test_connection_that_is_being_read_ends_at_once(
+def test_idle_connection_blocked_in_a_read_is_closed_at_once(
     sockets: tuple[socket.socket, socket.socket],
     connection: CallerConnection,
     clock: ManualClock,
@@ -90,7 +90,7 @@
     assert serving.dead
 
 
-def test_request_that_waits_unread_is_answered(
+def test_unread_request_is_answered_before_closing(
     sockets: tuple[socket.socket, socket.socket],
     connection: CallerConnection,
     clock: ManualClock,
@@ -102,7 +102,7 @@
     assert b' 503 ' in sockets[0].recv(1000)
 
 
-def test_young_connection_may_still_send(
+def test_new_connection_may_send_a_request_while_closing(
     sockets: tuple[socket.socket, socket.socket],
     connection: CallerConnection,
 ):
@@ -112,7 +112,7 @@
     assert b' 503 ' in sockets[0].recv(1000)
 
 
-def test_caller_that_reads_slowly_gets_a_long_answer_whole(
+def test_slow_caller_receives_the_whole_long_response(
     sockets: tuple[socket.socket, socket.socket],
     connection: CallerConnection,
     monkeypatch: pytest.MonkeyPatch,
--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -30,7 +30,7 @@
     )
 
 
-def test_three_crashes_make_a_cause():
+def test_request_at_three_crashes_is_a_cause():
     crashes = [crash(number, CAUSE) for number in range(2)]
     assert not find_causes(crashes, {})
     crashes.append(crash(2, CAUSE))
@@ -40,19 +40,19 @@
     assert blame.last_crash_ms == 2000
 
 
-def test_neighbour_at_some_of_the_crashes_is_not_blamed():
+def test_request_at_only_some_crashes_is_not_a_cause():
     crashes = [crash(number, CAUSE, OTHER) for number in range(3)]
     crashes.append(crash(3, CAUSE))
     assert set(find_causes(crashes, {})) == {CAUSE}
 
 
-def test_of_two_at_the_same_crashes_the_one_without_output_is_blamed():
+def test_request_without_output_is_preferred_as_cause():
     crashes = [crash(number, CAUSE, OTHER) for number in range(2)]
     crashes.append(crash(2, CAUSE, streaming=(OTHER,)))
     assert set(find_causes(crashes, {})) == {CAUSE}
 
 
-def test_cause_is_alone_unless_another_was_at_its_crashes():
+def test_cause_is_only_suspect_unless_tied_with_another():
     tied = [crash(number, CAUSE, OTHER) for number in range(3)]
     assert not any(each.is_only_suspect for each in find_causes(tied, {}).values())
     apart = [crash(number, CAUSE) for number in range(3)]
@@ -60,7 +60,7 @@
     assert all(each.is_only_suspect for each in find_causes(apart, {}).values())
 
 
-def test_two_causes_at_a_time_are_both_found():
+def test_two_simultaneous_causes_are_both_found():
     first = [crash(number, CAUSE) for number in range(4)]
     second = [
         crash(9 + number, OTHER, at_ms=number * 1000) for number in range(3)
@@ -68,7 +68,7 @@
     assert set(find_causes([*first, *second], {})) == {CAUSE, OTHER}
 
 
-def test_output_speaks_for_a_request_beside_others_without():
+def test_output_reduces_weight_beside_silent_requests():
     crashes = [crash(0, OTHER), crash(1, OTHER)]
     crashes += [
         crash(2 + number, b'n%d' % number, streaming=(OTHER,))
@@ -77,18 +77,18 @@
     assert not find_causes(crashes, {})
 
 
-def test_output_is_no_proof_where_all_had_some():
+def test_output_keeps_full_weight_without_silent_requests():
     crashes = [crash(number, streaming=(CAUSE,)) for number in range(3)]
     assert set(find_causes(crashes, {})) == {CAUSE}
 
 
-def test_good_answer_clears_the_crashes_before_it():
+def test_successful_answer_clears_earlier_crashes():
     crashes = [crash(number, OTHER) for number in range(5)]
     assert set(find_causes(crashes, {})) == {OTHER}
     assert not find_causes(crashes, {OTHER: 3500})
 
 
-def test_request_that_was_answered_well_needs_more_crashes():
+def test_served_request_needs_more_crashes():
     served_ms = {OTHER: -1}
     crashes = [crash(number, OTHER) for number in range(4)]
     assert not find_causes(crashes, served_ms)
@@ -97,31 +97,31 @@
     assert blame.excess_crashes == 0
 
 
-def test_request_that_was_answered_well_does_not_hide_the_cause():
+def test_served_request_does_not_hide_the_cause():
     crashes = [crash(number, CAUSE, OTHER) for number in range(5)]
     crashes.append(crash(5, OTHER))
     assert set(find_causes(crashes, {OTHER: -1})) == {CAUSE}
 
 
-def test_failure_of_half_a_pool_does_not_blame_a_popular_request():
+def test_popular_request_is_no_cause_when_half_a_pool_fails():
     crashes = [crash(number, OTHER, at_ms=number * 10) for number in range(6)]
     assert not find_causes(crashes, {OTHER: -1})
 
 
-def test_failure_of_a_rack_blames_nobody():
+def test_rack_failure_yields_no_cause():
     crashes = [crash(number, at_ms=number * 10) for number in range(15)]
     for each in crashes[:3]:
         each.silent.add(OTHER)
     assert not find_causes(crashes, {})
 
 
-def test_cause_is_found_beside_the_failure_of_a_rack():
+def test_cause_is_found_despite_a_rack_failure():
     crashes = [crash(number, at_ms=number * 10) for number in range(15)]
     crashes += [crash(20 + number, CAUSE) for number in range(3)]
     assert set(find_causes(crashes, {})) == {CAUSE}
 
 
-def test_one_request_may_end_a_whole_pool_at_once():
+def test_one_request_can_crash_a_whole_pool_at_once():
     crashes = [crash(number, CAUSE, at_ms=number * 10) for number in range(5)]
     assert set(find_causes(crashes, {})) == {CAUSE}
 
@@ -153,7 +153,7 @@
 @pytest.mark.parametrize(
     ('crashes', 'max_innocent'), [(3, 140), (4, 40), (5, 0), (8, 0)]
 )
-def test_few_neighbours_that_are_sent_again_are_blamed(
+def test_few_retried_neighbours_are_reported_as_causes(
     crashes: int, max_innocent: int
 ):
     # Of 10 neighbours at each crash, in 200 series of crashes. A neighbour at
--- a/tests/test_crash_exchange.py
+++ b/tests/test_crash_exchange.py
@@ -54,7 +54,7 @@
     )
 
 
-def test_news_reach_gateways_of_all_zones(gateway_site: GatewaySite):
+def test_crashes_are_sent_to_gateways_of_all_zones(gateway_site: GatewaySite):
     gateways = [
         gateway_site.start_gateway(zone=zone)
         for zone in ('osl-a', 'osl-a', 'osl-b', 'osl-c')
@@ -71,7 +71,7 @@
         assert abs(known.crashed_ms - now_ms) < 1000
 
 
-def test_gateway_that_starts_hears_all(gateway_site: GatewaySite):
+def test_new_gateway_receives_all_crashes(gateway_site: GatewaySite):
     first = gateway_site.start_gateway()
     now_ms = first._clock.now_ms()
     ledger_of(first).note_crash(crash('e1', at_ms=now_ms - 3_600_000))
@@ -79,7 +79,7 @@
     wait_until(lambda: ledger_of(second).crashes)
 
 
-def test_gateway_that_missed_news_is_told_by_one_that_only_heard(
+def test_missed_crash_is_resent_by_gateway_that_only_received_it(
     gateway_site: GatewaySite,
 ):
     first = gateway_site.start_gateway()
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize('planned', [False, True], ids=['lost', 'planned'])
-def test_crash_is_incomplete_if_a_gateway_ends_beside_it_without_a_word(
+def test_crash_is_incomplete_if_a_gateway_is_lost_without_planned_stop(
     gateway_site: GatewaySite, *, planned: bool
 ):
     first = gateway_site.start_gateway()
@@ -110,7 +110,7 @@
     assert known.incomplete is not planned
 
 
-def test_good_answer_is_told(gateway_site: GatewaySite):
+def test_served_request_is_reported(gateway_site: GatewaySite):
     first = gateway_site.start_gateway()
     second = gateway_site.start_gateway()
     wait_until(lambda: second._peers.names)
@@ -134,7 +134,7 @@
     return CrashExchange(clock=clock, ledger=ledger)
 
 
-def test_peer_that_knows_the_same_is_told_nothing(
+def test_equal_digest_causes_no_resend(
     exchange: CrashExchange, clock: ManualClock
 ):
     clock.advance(SETTLE_TIME_MS)
@@ -142,20 +142,20 @@
     assert not exchange.answer_digest(session(), 0, 1).is_empty
 
 
-def test_peer_of_the_last_version_is_told_nothing_again(
+def test_peer_of_older_version_gets_no_resend(
     exchange: CrashExchange, clock: ManualClock
 ):
     clock.advance(SETTLE_TIME_MS)
     assert exchange.answer_digest(session(), -1, 1).is_empty
 
 
-def test_news_that_are_on_their_way_are_not_told_again(
+def test_updates_in_transit_are_not_resent(
     exchange: CrashExchange,
 ):
     assert exchange.answer_digest(session(), 0, 1).is_empty
 
 
-def test_peer_without_room_is_not_told_at_each_heartbeat(
+def test_resends_to_one_peer_are_spaced(
     exchange: CrashExchange, clock: ManualClock
 ):
     peer = session()
@@ -167,7 +167,7 @@
     assert resends.count(True) == 4
 
 
-def test_few_of_many_gateways_tell_again(
+def test_few_of_many_gateways_resend(
     exchange: CrashExchange, clock: ManualClock
 ):
     clock.advance(SETTLE_TIME_MS)
@@ -180,7 +180,7 @@
     assert 2 * rounds < are_empty.count(False) < 6 * rounds
 
 
-def test_last_version_and_this_one_read_each_other():
+def test_older_and_newer_versions_decode_each_other():
     sent = heartbeat(3)
     # The older version lacks the crashes and all fields after them.
     before = sent.fields()[: 1 + sent.__slots__.index('crashes')]
@@ -197,6 +197,6 @@
     # One blocked request has three crashes.
     [(0, 4), (3, 200), (300, 20_000)],
 )
-def test_news_in_a_heartbeat_are_short(crashes: int, max_bytes: int):
+def test_updates_in_a_heartbeat_are_compact(crashes: int, max_bytes: int):
     without = len(encode(heartbeat())) - 3
     assert len(encode(heartbeat(crashes))) - without <= max_bytes
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -43,7 +43,7 @@
     )
 
 
-def test_suspects_of_one_crash_are_joined(
+def test_suspects_of_one_crash_are_merged(
     ledger: CrashLedger, clock: ManualClock
 ):
     record_crash(ledger, clock, 'e1', b'a')
@@ -53,7 +53,7 @@
     assert crash.streaming == {b'c'}
 
 
-def test_news_are_told_once(ledger: CrashLedger, clock: ManualClock):
+def test_crash_updates_are_reported_once(ledger: CrashLedger, clock: ManualClock):
     record_crash(ledger, clock, 'e1', b'a')
     record_crash(ledger, clock, 'e1', b'b')
     (reported,) = ledger.take_unreported_crashes()
@@ -64,7 +64,7 @@
     assert reported.suspects == {b'c'}
 
 
-def test_what_a_peer_told_is_not_told_on(
+def test_crash_reported_by_a_peer_is_not_forwarded(
     ledger: CrashLedger, clock: ManualClock
 ):
     crash = EndpointCrash(
@@ -75,7 +75,7 @@
     assert not ledger.take_unreported_crashes()
 
 
-def test_those_who_know_the_same_have_the_same_sum(clock: ManualClock):
+def test_ledgers_with_equal_crashes_have_equal_digests(clock: ManualClock):
     first, second = CrashLedger(clock=clock), CrashLedger(clock=clock)
     record_crash(first, clock, 'e1', b'a', b'b')
     assert first.recent_digest != second.recent_digest
@@ -84,7 +84,7 @@
     assert first.recent_digest == second.recent_digest
 
 
-def test_flood_of_requests_hides_none_that_comes_again(
+def test_flood_of_requests_does_not_hide_a_retried_request(
     ledger: CrashLedger, clock: ManualClock
 ):
     record_crash(ledger, clock, 'e1', b'again')
@@ -95,7 +95,7 @@
     assert len(crash.suspects) == MAX_REPORTED_SUSPECTS
 
 
-def test_flood_at_one_gateway_leaves_room_for_others(
+def test_flood_at_one_gateway_leaves_capacity_for_others(
     ledger: CrashLedger, clock: ManualClock
 ):
     flood = [b'%03d' % number for number in range(MAX_REPORTED_SUSPECTS * 3)]
@@ -119,7 +119,7 @@
     assert len(ledger.crashes[0].suspects) == MAX_SUSPECTS
 
 
-def test_crashes_of_a_day_are_bounded(ledger: CrashLedger, clock: ManualClock):
+def test_number_of_crashes_is_bounded(ledger: CrashLedger, clock: ManualClock):
     for number in range(MAX_CRASHES + 10):
         record_crash(ledger, clock, f'e{number}', b'r%d' % number)
         clock.advance(1)
@@ -131,7 +131,7 @@
     assert 'e1' not in remaining
 
 
-def test_crash_is_forgotten_after_a_day(
+def test_crash_expires_after_a_day(
     ledger: CrashLedger, clock: ManualClock
 ):
     record_crash(ledger, clock, 'e1', b'a')
@@ -141,7 +141,7 @@
     assert not ledger.served_ms
 
 
-def test_good_answer_speaks_for_a_suspect_and_is_told(
+def test_successful_answer_clears_a_suspect_and_is_reported(
     ledger: CrashLedger, clock: ManualClock
 ):
     record_crash(ledger, clock, 'e1', b'a')
@@ -154,7 +154,7 @@
     assert not ledger.take_unreported_served()
 
 
-def test_good_answer_before_a_crash_is_remembered(
+def test_successful_answer_before_a_crash_is_reported(
     ledger: CrashLedger, clock: ManualClock
 ):
     ledger.note_served(b'a')
@@ -164,7 +164,7 @@
     assert ledger.take_unreported_served() == {b'a': served_ms}
 
 
-def test_good_answer_of_long_ago_says_nothing(
+def test_old_successful_answer_is_ignored(
     ledger: CrashLedger, clock: ManualClock
 ):
     ledger.note_served(b'a')
@@ -173,7 +173,7 @@
     assert not ledger.served_ms
 
 
-def test_good_answers_of_others_take_no_room(ledger: CrashLedger):
+def test_recent_successful_answers_are_bounded(ledger: CrashLedger):
     for number in range(5000):
         ledger.note_served(b'%d' % number)
     assert not ledger.served_ms
@@ -184,7 +184,7 @@
     ('lost_after_ms', 'incomplete'),
     [(300, True), (301, False), (-300, True), (-301, False)],
 )
-def test_crash_beside_a_lost_gateway_is_incomplete(
+def test_crash_near_a_gateway_loss_is_incomplete(
     clock: ManualClock, lost_after_ms: int, *, incomplete: bool
 ):
     ledger = CrashLedger(clock=clock)
@@ -199,7 +199,7 @@
     assert ledger.crashes[0].incomplete == incomplete
 
 
-def test_loss_of_all_gateways_of_a_fleet_costs_little(
+def test_loss_of_a_whole_fleet_is_processed_quickly(
     ledger: CrashLedger, clock: ManualClock
 ):
     # This runs in the event loop of a gateway: some tens of milliseconds, 0.8 s
@@ -213,7 +213,7 @@
     assert time.process_time_ns() - began_ns < 300_000_000
 
 
-def test_crash_that_the_lost_gateway_has_told_itself_is_complete(
+def test_crash_reported_by_the_lost_gateway_is_complete(
     ledger: CrashLedger, clock: ManualClock
 ):
     record_crash(ledger, clock, 'e1', b'a')
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -54,7 +54,7 @@
     return PoolEndpoint(**fields)
 
 
-def test_all_requests_at_a_crash_are_noted(
+def test_suspect_requests_of_a_crash_are_recorded(
     watch: CrashDetector, knowledge: EndpointKnowledge, listener: socket.socket
 ):
     endpoint = endpoint_at(listener)
@@ -93,7 +93,7 @@
     accepted.close()
 
 
-def test_lost_answer_is_no_crash(
+def test_lost_answer_is_not_a_crash(
     watch: CrashDetector, knowledge: EndpointKnowledge, listener: socket.socket
 ):
     watch.note_broken(endpoint_at(listener), b'r', None)
@@ -101,7 +101,7 @@
     assert not knowledge.crashes.crashes
 
 
-def test_endpoint_that_left_by_plan_has_not_crashed(
+def test_drained_endpoint_has_not_crashed(
     watch: CrashDetector, knowledge: EndpointKnowledge, listener: socket.socket
 ):
     endpoint = endpoint_at(listener, draining=True)
@@ -112,7 +112,7 @@
     assert not knowledge.crashes.crashes
 
 
-def test_endpoint_that_has_started_again_has_crashed(
+def test_restarted_endpoint_has_crashed(
     watch: CrashDetector, knowledge: EndpointKnowledge, listener: socket.socket
 ):
     former = endpoint_at(listener, instance='e', born_ms=1)
@@ -121,7 +121,7 @@
     wait_until(lambda: knowledge.crashes.crashes)
 
 
-def test_request_that_was_given_up_there_is_a_suspect(
+def test_recently_abandoned_request_is_a_suspect(
     watch: CrashDetector,
     knowledge: EndpointKnowledge,
     listener: socket.socket,
--- a/tests/test_customer_work.py
+++ b/tests/test_customer_work.py
@@ -27,7 +27,7 @@
     return work.decayed_work(POOL)[customer].asked
 
 
-def test_work_fades(work: CustomerWork, clock: ManualClock):
+def test_work_decays_by_half_in_a_half_life(work: CustomerWork, clock: ManualClock):
     work.note(POOL, 'aker', Work(asked=4000, given=2000))
     clock.advance(HALF_LIFE_MS)
     work.note(POOL, 'aker', Work(asked=1000))
@@ -36,30 +36,30 @@
     assert decayed.given == pytest.approx(1000)
 
 
-def test_work_of_pools_is_apart(work: CustomerWork):
+def test_work_is_separate_for_each_pool(work: CustomerWork):
     work.note(POOL, 'aker', Work(asked=4000))
     assert not work.decayed_work('others')
 
 
-def test_answers_count_beside_what_is_read():
+def test_prompt_work_includes_weighted_answer_tokens():
     assert prompt_work(1000, 0) == 1000
     assert prompt_work(1000, 200) > 1000 + 200
 
 
-def test_work_is_told_once(work: CustomerWork):
+def test_work_is_reported_once(work: CustomerWork):
     work.note(POOL, 'aker', Work(asked=4000))
     work.note(POOL, 'aker', Work(given=2000.4))
     assert work.take_unreported() == [[POOL, 'aker', 4000, 2000]]
     assert not work.take_unreported()
 
 
-def test_work_that_was_told_is_not_told_again(work: CustomerWork):
+def test_work_reported_by_a_peer_is_not_reported_again(work: CustomerWork):
     work.merge_from_peer(POOL, 'aker', 4000, 2000)
     assert requested_work(work, 'aker') == 4000
     assert not work.take_unreported()
 
 
-def test_faded_customers_are_forgotten(work: CustomerWork, clock: ManualClock):
+def test_customers_with_decayed_work_are_removed(work: CustomerWork, clock: ManualClock):
     work.note(POOL, 'aker', Work(asked=4000))
     for _half_life in range(30):
         clock.advance(HALF_LIFE_MS)
@@ -76,7 +76,7 @@
     assert requested_work(work, 'aker') == 90_000
 
 
-def test_work_is_settled_once_it_was_heard_of_for_a_half_life(
+def test_work_is_comparable_after_a_half_life(
     work: CustomerWork, clock: ManualClock
 ):
     work.merge_from_peer(POOL, 'aker', 4000, 4000)
@@ -86,14 +86,14 @@
     assert not work.covers_half_life('others')
 
 
-def test_customer_that_comes_to_a_full_pool_is_kept(work: CustomerWork):
+def test_new_customer_of_a_full_pool_is_added(work: CustomerWork):
     for number in range(MAX_CUSTOMERS):
         work.note(POOL, f'customer-{number}', Work(asked=1000))
     work.note(POOL, 'aker', Work(asked=90_000))
     assert requested_work(work, 'aker') == 90_000
 
 
-def test_work_after_a_quiet_time_is_settled_anew(
+def test_work_after_an_idle_time_needs_a_new_half_life(
     work: CustomerWork, clock: ManualClock
 ):
     work.note(POOL, 'aker', Work(asked=4000))
--- a/tests/test_early_listener.py
+++ b/tests/test_early_listener.py
@@ -10,7 +10,7 @@
 from wingfall.gateway.callers.early_listener import listen_early
 
 
-def test_connections_are_taken(tmp_path: pathlib.Path):
+def test_connections_are_accepted(tmp_path: pathlib.Path):
     settings = tmp_path / 'settings.yaml'
     settings.write_text('name: x\ncallers: "127.0.0.1:0"\n', 'utf-8')
     listener = listen_early(['gateway', '--settings', str(settings)])
@@ -23,7 +23,7 @@
     'text',
     ['name: x\n', 'callers: {host: 127.0.0.1}\n', 'callers: "0.0.0.1:1"\n'],
 )
-def test_unclear_address_is_left_to_the_check(
+def test_unrecognized_address_opens_no_listener(
     tmp_path: pathlib.Path,
     text: str,
 ):
@@ -32,6 +32,6 @@
     assert listen_early(['gateway', '--settings', str(settings)]) is None
 
 
-def test_missing_file_is_left_to_the_check():
+def test_missing_settings_file_opens_no_listener():
     assert listen_early(['gateway', '--settings', '/nonexistent']) is None
     assert listen_early(['gateway', '--settings']) is None
--- a/tests/test_early_refusal.py
+++ b/tests/test_early_refusal.py
@@ -33,17 +33,17 @@
     assert is_admitted(2000)
 
 
-def test_prompt_that_would_be_late_may_come_back_in_time():
+def test_late_prompt_gets_a_retry_delay():
     refused = admit_by_target(make_estimate(3500))
     assert refused.failure() == 2500
 
 
-def test_caller_is_told_when_there_is_room_though_that_is_late():
+def test_retry_delay_lasts_until_the_queue_is_short_enough():
     refused = admit_by_target(make_estimate(5000, left_ms=6000))
     assert refused.failure() == 4000
 
 
-def test_nobody_is_told_to_come_back_after_the_time_is_over():
+def test_retry_delay_is_at_most_the_remaining_time():
     refused = admit_by_target(make_estimate(60_000, left_ms=6000))
     assert refused.failure() == 6000
 
@@ -53,10 +53,10 @@
     assert not is_admitted(7000, urgent=True)
 
 
-def test_caller_with_little_time_left_is_judged_as_others_are():
+def test_remaining_time_does_not_change_the_target():
     assert not is_admitted(3000, left_ms=9000)
     assert is_admitted(2000, left_ms=9000)
 
 
-def test_baseline_refuses_nothing():
+def test_always_admits_every_prompt():
     assert isinstance(admit_always(make_estimate(1_000_000)), Success)
--- a/tests/test_endpoint_health.py
+++ b/tests/test_endpoint_health.py
@@ -8,7 +8,7 @@
 from wingfall.gateway.knowledge.endpoint_health import EndpointHealth, Outcomes
 
 
-def test_unreachable_endpoint_is_out_for_a_time_that_doubles(
+def test_ejection_time_of_unreachable_endpoint_doubles(
     clock: ManualClock,
 ):
     health = EndpointHealth(clock=clock)
@@ -23,14 +23,14 @@
     assert not health.is_ejected('one')
 
 
-def test_success_ends_it(clock: ManualClock):
+def test_success_ends_an_ejection(clock: ManualClock):
     health = EndpointHealth(clock=clock)
     health.note_unreachable('one')
     health.note_success('one')
     assert not health.is_ejected('one')
 
 
-def test_failures_add_up_and_fade(clock: ManualClock):
+def test_failure_rate_rises_and_decays(clock: ManualClock):
     health = EndpointHealth(clock=clock)
     for _failure in range(5):
         health.note_failure('one')
@@ -41,7 +41,7 @@
     assert not health.failure_rate('two')
 
 
-def test_endpoints_that_left_are_forgotten(clock: ManualClock):
+def test_removed_endpoints_are_dropped(clock: ManualClock):
     health = EndpointHealth(clock=clock)
     health.note_unreachable('one')
     health.retain_only(set())
@@ -57,7 +57,7 @@
     assert not round(health.failure_rate('one') * 100)
 
 
-def test_peers_tell_of_failures(clock: ManualClock):
+def test_failures_are_reported_to_peers(clock: ManualClock):
     reporter, receiver = (EndpointHealth(clock=clock) for _gateway in range(2))
     reporter.note_success('one')
     for _failure in range(6):
@@ -71,7 +71,7 @@
     assert round(receiver.failure_rate('one') * 10) == 4
 
 
-def test_what_peers_are_served_ends_failures(clock: ManualClock):
+def test_successes_of_peers_reduce_the_failure_rate(clock: ManualClock):
     health = EndpointHealth(clock=clock)
     health.merge_from_peer('one', Outcomes(failed=10))
     failure_rate = health.failure_rate('one')
@@ -81,7 +81,7 @@
     assert not health.failure_rate('two')
 
 
-def test_what_is_heard_is_not_told_again(clock: ManualClock):
+def test_outcomes_from_peers_are_not_reported_again(clock: ManualClock):
     health = EndpointHealth(clock=clock)
     health.merge_from_peer('one', Outcomes(failed=3))
     assert not health.take_unreported()
--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -78,14 +78,14 @@
     return [each.born_ms for each in state.knowledge.table.usable('plain')]
 
 
-def test_each_start_has_a_name_of_its_own():
+def test_each_incarnation_has_its_own_name():
     first, again = started(FIRST_MS), started(LATER_MS)
     assert first.name != again.name
     assert first.instance == again.instance == 'one'
     assert started(None).name == 'one'
 
 
-def test_later_start_is_the_newest_and_an_earlier_one_is_not():
+def test_latest_start_is_the_newest_incarnation():
     incarnations = EndpointIncarnations()
     assert incarnations.note(started(FIRST_MS)) is EntryStatus.newest
     assert incarnations.note(started(LATER_MS)) is EntryStatus.newest
@@ -97,7 +97,7 @@
     assert not incarnations.is_superseded(started(None))
 
 
-def test_remembered_starts_are_bounded(monkeypatch: pytest.MonkeyPatch):
+def test_number_of_stored_starts_is_bounded(monkeypatch: pytest.MonkeyPatch):
     monkeypatch.setattr(endpoint_incarnations, '_MOST_REMEMBERED', 2)
     incarnations = EndpointIncarnations()
     for number in range(3):
@@ -106,17 +106,17 @@
     assert incarnations.note(started(FIRST_MS, 'i-0')) is EntryStatus.newest
 
 
-def test_entries_without_a_start_are_used_where_none_tells_it():
+def test_entries_without_start_are_used_if_no_entry_has_one():
     listed = [started(None, 'one'), started(None, 'two')]
     assert select_own_entries(listed) == listed
 
 
-def test_entry_without_a_start_among_those_that_tell_it_is_anothers():
+def test_entry_without_start_is_ignored_beside_entries_with_one():
     listed = [started(FIRST_MS, 'one'), started(None, 'two')]
     assert select_own_entries(listed) == listed[:1]
 
 
-def test_one_entry_with_a_start_does_not_drive_the_others_out():
+def test_one_entry_with_start_does_not_exclude_the_others():
     listed = [
         started(FIRST_MS, 'odd'),
         started(None, 'one'),
@@ -125,7 +125,7 @@
     assert select_own_entries(listed) == listed
 
 
-def test_new_start_takes_the_place_of_the_earlier_one_at_once():
+def test_new_incarnation_replaces_the_earlier_at_once():
     state = make_state()
     put = entry_writer(ObjectApplier(state=state))
     put(FIRST_MS)
@@ -135,7 +135,7 @@
 
 
 @pytest.mark.parametrize('left', [False, True])
-def test_late_entry_of_an_earlier_start_changes_nothing(left: bool):
+def test_late_entry_of_an_earlier_incarnation_is_ignored(left: bool):
     state = make_state()
     applier = ObjectApplier(state=state)
     put = entry_writer(applier)
@@ -149,7 +149,7 @@
     assert usable(state) == expected
 
 
-def test_entry_that_lost_its_start_is_anothers():
+def test_entry_that_lost_its_start_is_ignored():
     state = make_state()
     put = entry_writer(ObjectApplier(state=state))
     for name in ('one', 'two', 'three'):
@@ -201,7 +201,7 @@
 
 
 @pytest.mark.parametrize('kind', STATE_KINDS)
-def test_nothing_known_of_an_earlier_start_is_held_of_the_next(kind: str):
+def test_state_of_an_earlier_incarnation_is_not_kept(kind: str):
     record, find_state = STATE_KINDS[kind]
     state = make_state()
     known = state.knowledge
@@ -217,7 +217,7 @@
     assert not find_state(known, newest.name)
 
 
-def test_speed_of_an_earlier_start_is_learned_anew():
+def test_speed_is_reset_for_a_new_incarnation():
     state = make_state()
     known = state.knowledge
     put = entry_writer(ObjectApplier(state=state))
@@ -231,7 +231,7 @@
     assert known.speed(started(LATER_MS).name).prefill_ms(10_000) == before
 
 
-def test_connection_to_an_earlier_start_is_not_used_again():
+def test_connection_to_an_earlier_incarnation_is_not_reused():
     server = PoolServerStandIn(name='one')
     clock = ManualClock(start_ms=1)
     gate = SendingGate(
@@ -263,7 +263,7 @@
     )
 
 
-def test_gateways_that_read_a_new_start_two_seconds_apart_agree():
+def test_gateways_that_learn_of_a_restart_at_different_times_agree():
     early, late = make_state(), make_state()
     put_early = entry_writer(ObjectApplier(state=early))
     put_late = entry_writer(ObjectApplier(state=late))
@@ -301,7 +301,7 @@
     return site.servers[name]
 
 
-def test_engine_that_started_again_counts_as_empty(gateway_site: GatewaySite):
+def test_restarted_engine_has_an_empty_cache(gateway_site: GatewaySite):
     engine = gateway_site.add_server('one', 'engines')
     put_entry(gateway_site, 'engines', 'one', FIRST_MS)
     gateway = gateway_site.add_gateway()
@@ -355,7 +355,7 @@
     return caller, first, other
 
 
-def test_stream_does_not_go_on_at_a_copy_that_died_with_its_holder(
+def test_stream_does_not_resume_at_a_backup_lost_in_a_restart(
     backup_site: GatewaySite,
 ):
     caller, first, other = begin_stream(backup_site)
@@ -368,7 +368,7 @@
     assert not engine.runs
 
 
-def test_stream_goes_on_at_its_copy_if_its_engine_has_started_again(
+def test_stream_resumes_at_its_backup_if_its_engine_restarted(
     backup_site: GatewaySite,
 ):
     caller, first, other = begin_stream(backup_site)
@@ -384,7 +384,7 @@
     assert 'kv-from' in run.headers
 
 
-def test_request_that_an_earlier_start_may_have_run_is_not_called_not_run(
+def test_request_possibly_run_before_a_restart_is_not_reported_as_not_run(
     gateway_site: GatewaySite,
 ):
     server = gateway_site.add_server('one')
@@ -447,7 +447,7 @@
 
 
 @pytest.mark.processes
-def test_process_serves_from_an_endpoint_that_starts_again(
+def test_gateway_process_uses_a_restarted_endpoint(
     gateway_site: GatewaySite,
     tmp_path: Any,
 ):
--- a/tests/test_endpoint_signals.py
+++ b/tests/test_endpoint_signals.py
@@ -50,7 +50,7 @@
     assert signals.limits[ENDPOINT].rate is None
 
 
-def test_answer_that_was_overtaken_ends_no_limit(
+def test_overtaken_answer_does_not_end_a_limit(
     signals: EndpointSignals, clock: ManualClock
 ):
     signals.note_answer(ENDPOINT, AnswerSignals(rate=2), 900)
@@ -60,7 +60,7 @@
     assert signals.limits[ENDPOINT].rate == 2
 
 
-def test_of_two_answers_whose_order_is_unknown_the_lower_limit_holds():
+def test_lower_limit_holds_if_order_of_answers_is_unknown():
     for first, second in (
         (make_limit(5, 0, 10), make_limit(1, 5, 15)),
         (make_limit(1, 0, 10), make_limit(5, 5, 15)),
@@ -70,13 +70,13 @@
         assert choose_newer(second, first).rate == 1
 
 
-def test_of_two_answers_one_after_the_other_the_later_holds():
+def test_limit_of_the_later_answer_holds():
     before, after = make_limit(1, 0, 10), make_limit(5, 11, 20)
     assert choose_newer(before, after) is after
     assert choose_newer(after, before) is after
 
 
-def test_what_can_not_be_read_changes_no_limit(signals: EndpointSignals):
+def test_unreadable_signals_do_not_change_a_limit(signals: EndpointSignals):
     signals.note_answer(ENDPOINT, AnswerSignals(rate=2), 900)
     unreadable = AnswerSignals(faults=('server-limit: many',))
     changes = signals.note_answer(ENDPOINT, unreadable, 1100)
@@ -84,7 +84,7 @@
     assert signals.limits[ENDPOINT].rate == 2
 
 
-def test_gateways_that_know_the_same_have_the_same_sum(clock: ManualClock):
+def test_gateways_with_equal_signals_have_equal_digests(clock: ManualClock):
     one = EndpointSignals(name='g1', clock=clock)
     other = EndpointSignals(name='g2', clock=clock)
     one.note_answer(ENDPOINT, AnswerSignals(rate=2, leaving=True), 900)
@@ -96,7 +96,7 @@
     assert not other.take_unreported()
 
 
-def test_endpoint_that_is_listed_keeps_its_limit(
+def test_listed_endpoint_keeps_its_signals(
     signals: EndpointSignals, clock: ManualClock
 ):
     for name in (ENDPOINT, 'gone'):
@@ -107,7 +107,7 @@
     assert set(signals.leaving) == {ENDPOINT}
 
 
-def test_rest_lasts_as_long_as_the_longest_that_was_asked(
+def test_longest_requested_rest_holds(
     signals: EndpointSignals, clock: ManualClock
 ):
     asked = signals.note_answer(ENDPOINT, AnswerSignals(rest_ms=3000), 900)
@@ -122,7 +122,7 @@
     assert not signals.rests.is_resting(ENDPOINT)
 
 
-def test_what_is_remembered_is_bounded(
+def test_number_of_stored_signals_is_bounded(
     signals: EndpointSignals, clock: ManualClock
 ):
     answer = AnswerSignals(rate=2, leaving=True, rest_ms=5000)
--- a/tests/test_engine_groups.py
+++ b/tests/test_engine_groups.py
@@ -101,22 +101,22 @@
         'no engine keeps the short bound',
     ],
 )
-def test_pool_without_need_has_no_groups(ungrouped: PoolState):
+def test_pool_is_not_grouped_without_need(ungrouped: PoolState):
     assert group_by_gap(ungrouped) is None
 
 
-def test_baseline_parts_nothing():
+def test_baseline_policy_returns_no_grouping():
     assert reserve_none(make_pool(make_engines(), streams={SHORT_MS: 400})) is None
 
 
-def test_quick_engines_keep_short_gaps_beside_reads():
+def test_quick_engines_keep_short_gap_bound_during_prefills():
     grouping = group(make_engines())
     assert set(grouping.order[: len(QUICK)]) == set(QUICK)
     assert grouping.fit_counts == {SHORT_MS: len(QUICK), LONG_MS: 16}
     assert grouping.closed == {SHORT_MS: 0, LONG_MS: 0}
 
 
-def test_gateways_that_know_a_little_else_have_one_order():
+def test_order_is_equal_for_slightly_different_measurements():
     random.seed(1)
     orders = set()
     for _gateway in range(20):
@@ -128,7 +128,7 @@
     assert len(orders) == 1
 
 
-def test_engine_of_which_little_is_seen_stays_what_it_was():
+def test_engine_with_few_samples_keeps_its_class():
     unmeasured = [
         *make_engines(),
         make_engine('new', 0, 500, full_gaps_ms=(), typical_gap_ms=None),
@@ -137,7 +137,7 @@
     assert group(unmeasured, classes={'new': 0}).classes['new'] == 0
 
 
-def test_engine_stays_in_its_class_until_it_is_clearly_out_of_it():
+def test_engine_keeps_its_class_until_clearly_outside():
     # 1.3 times as fast as the median: between the two ratios.
     borderline = [
         *make_engines(),
@@ -147,7 +147,7 @@
     assert group(borderline, classes={'doubtful': 0}).classes['doubtful'] == 0
 
 
-def test_reads_stay_harmless_until_gaps_are_clearly_too_long():
+def test_class_stays_fit_until_gaps_clearly_exceed_bound():
     longer = make_engines(quick_ms=215)
     assert group_by_gap(make_pool(longer)) is None
     grouping = group(longer, fit={SHORT_MS: 1})
@@ -155,7 +155,7 @@
     assert group_by_gap(make_pool(make_engines(250), fit={SHORT_MS: 1})) is None
 
 
-def test_odd_stream_does_not_make_reads_harmful():
+def test_outlier_gap_does_not_make_class_unfit():
     gaps = (160, 160, 160, 160, 160, 160, 160, 900)
     outlier = make_engine(QUICK[0], 160, 160, full_gaps_ms=gaps)
     assert group([outlier, *make_engines()[1:]]).fit_counts[SHORT_MS] == len(
@@ -163,20 +163,20 @@
     )
 
 
-def test_engines_are_closed_as_streams_need_them():
+def test_number_of_closed_engines_grows_with_streams():
     # Four engines serve 140 streams beside prefills.
     assert count_closed(100) == 0
     assert 0 < count_closed(200) < count_closed(300)
 
 
-def test_half_of_what_a_pool_reads_is_never_given_up():
+def test_closed_engines_have_at_most_half_the_prefill_rate():
     grouping = group(make_engines(), streams={SHORT_MS: 5000})
     rates = {each.name: each.rate for each in make_engines()}
     closed_names = grouping.order[: grouping.closed[SHORT_MS]]
     assert sum(map(rates.get, closed_names)) <= sum(rates.values()) / 2
 
 
-def test_longer_bounds_have_larger_groups():
+def test_longer_gap_bounds_have_larger_groups():
     grouping = group(
         make_engines(),
         gap_bounds_ms=(SHORT_MS, 300, LONG_MS),
@@ -186,7 +186,7 @@
     assert grouping.fit_counts[SHORT_MS] <= grouping.fit_counts[300]
 
 
-def test_no_more_is_closed_than_leaves_half_to_read_with():
+def test_max_closed_leaves_half_the_prefill_rate():
     grouping = group(make_engines(), streams={SHORT_MS: 10_000})
     rates = {each.name: each.rate for each in make_engines()}
     open_rate = sum(
--- a/tests/test_engine_priority.py
+++ b/tests/test_engine_priority.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize('count', range(1, PRIORITY_LEVELS + 1))
-def test_more_urgent_route_goes_first_whoever_the_customers_are(count: int):
+def test_more_urgent_route_goes_first_for_all_customers(count: int):
     tiers = range(count)
     for urgent, lesser in itertools.combinations(tiers, 2):
         for first, second in itertools.product(CUSTOMER_TIERS, CUSTOMER_TIERS):
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize('count', range(1, PRIORITY_LEVELS + 1))
-def test_priorities_fit_what_engines_tell_apart(count: int):
+def test_priorities_are_in_the_range_of_engines(count: int):
     tiers = range(count)
     priorities = {
         engine_priority(tier, customer, tiers)
@@ -40,10 +40,10 @@
     assert ranked == [3, 4, 4, 5]
 
 
-def test_tiers_far_apart_leave_room_for_customers():
+def test_customers_are_ranked_if_tiers_are_not_adjacent():
     assert engine_priority(9, 0, (2, 9)) < engine_priority(9, 9, (2, 9))
 
 
-def test_more_tiers_than_engines_tell_apart_share_the_last():
+def test_tiers_beyond_the_range_of_engines_share_the_last_priority():
     tiers = range(20)
     assert engine_priority(19, None, tiers) == PRIORITY_LEVELS - 1
--- a/tests/test_engine_speeds.py
+++ b/tests/test_engine_speeds.py
@@ -24,7 +24,7 @@
     assert slow.rate.tokens_per_ms == pytest.approx(20, rel=0.02)
 
 
-def test_new_engine_starts_with_the_average_of_its_pool():
+def test_new_engine_starts_with_its_pool_rate():
     speeds = EngineSpeeds()
     record_prefills(speeds, 'known', 230)
     new = speeds.find('new', 'pool').rate.tokens_per_ms
@@ -32,14 +32,14 @@
     assert speeds.find('other', 'other pool').rate.tokens_per_ms < new
 
 
-def test_engines_of_a_pool_share_their_longest_pause():
+def test_engines_of_a_pool_share_their_longest_gap():
     speeds = EngineSpeeds()
     speeds.find('one', 'pool').note_longest_gap(200, 50_000)
     assert speeds.find('two', 'pool').full_gap_ms == 200
     assert speeds.find('three', 'other pool').full_gap_ms is None
 
 
-def test_engine_that_left_is_forgotten():
+def test_unlisted_engine_is_removed():
     speeds = EngineSpeeds()
     record_prefills(speeds, 'gone', 430)
     slow = speeds.find('gone', 'pool')
--- a/tests/test_fair_admission.py
+++ b/tests/test_fair_admission.py
@@ -55,20 +55,20 @@
     return admit_fairly(make_estimate(start_ms, **changes)).failure()
 
 
-def test_customer_within_its_share_meets_the_whole_target():
+def test_customer_within_its_share_has_the_full_bound():
     assert is_admitted(TARGET_MS, use=0.3)
     assert is_admitted(TARGET_MS, use=1)
     assert not is_admitted(TARGET_MS + 1, use=1)
 
 
-def test_bound_is_shorter_the_further_above_the_share():
+def test_bound_shrinks_with_relative_use():
     bounds = [
         fair_bound_ms(make_estimate(0, use=use)) for use in (1, 1.5, 2, 4, 40)
     ]
     assert bounds == [1200, 800, 600, 300, 300]
 
 
-def test_customer_above_its_share_is_served_while_engines_run_out_of_work():
+def test_customer_above_its_share_is_admitted_at_nearly_idle_engines():
     assert is_admitted(700, use=10, empty_queue_start_ms=650)
     assert not is_admitted(800, use=10, empty_queue_start_ms=650)
     # The bound for all customers still applies.
@@ -80,7 +80,7 @@
     assert not is_admitted(5001, empty_queue_start_ms=5000)
 
 
-def test_no_tier_is_behind_a_lower_one():
+def test_share_does_not_put_a_tier_behind_a_lower_one():
     assert is_admitted(TARGET_MS, lowest=False, use=40)
     assert not is_admitted(TARGET_MS + 1, lowest=False, use=40)
 
@@ -91,7 +91,7 @@
     assert is_admitted(TARGET_MS, urgent=True, lowest=False, use=40)
 
 
-def test_bound_is_met_by_three_in_four_starts():
+def test_margin_divides_the_bound():
     error = StartErrorStats(median=0.5, worst_tenth=0.72)
     margin = start_margin(error)
     assert margin == pytest.approx(1.2)
@@ -100,41 +100,41 @@
     assert is_admitted(TARGET_MS / margin, margin=margin, lowest=False, use=40)
 
 
-def test_margin_is_bounded_and_none_before_anything_was_learned():
+def test_margin_is_bounded_and_is_one_without_samples():
     assert start_margin(None) == 1
     max_margin = start_margin(StartErrorStats(median=0.1, worst_tenth=9))
     assert max_margin == pytest.approx(1.5)
 
 
-def test_prompt_that_would_end_after_its_caller_left_is_refused():
+def test_prompt_that_would_end_after_the_deadline_is_refused():
     assert is_admitted(500, stream_ms=7500)
     assert not is_admitted(500, stream_ms=7501)
 
 
-def test_reasons():
+def test_refusal_reasons():
     assert refusal_reason(make_estimate(TARGET_MS + 1, use=2)) == 'no_room'
     assert refusal_reason(make_estimate(TARGET_MS, use=2)) == 'over_share'
     assert refusal_reason(make_estimate(500, stream_ms=9000)) == 'ends_late'
 
 
-def test_caller_may_come_back_when_half_of_the_target_is_left_to_read():
+def test_retry_delay_ends_when_the_queue_is_half_of_the_target():
     assert retry_delay_ms(2000) == 1400
 
 
-def test_customer_above_its_share_comes_back_later():
+def test_retry_delay_grows_with_relative_use():
     # The delay until the queue is half of the bound, times the relative use.
     assert retry_delay_ms(2000, use=2) == 3400
     assert retry_delay_ms(2000, use=40, left_ms=5000) == 5000
 
 
-def test_callers_that_are_told_together_come_back_apart():
+def test_jitter_spreads_retries_of_callers():
     delays_ms = [jittered_ms(1000, 8000, draw / 10) for draw in range(11)]
     assert delays_ms[0] == 1000
     assert delays_ms[-1] == 1200
     assert len(set(delays_ms)) == 11
 
 
-def test_nobody_is_told_to_come_back_after_the_time_is_over():
+def test_retry_delay_is_at_most_the_remaining_time():
     delays_ms = [jittered_ms(5000, 3000, draw) for draw in (0, 0.5, 1)]
     assert len(set(delays_ms)) == 3
     assert max(delays_ms) <= 3000
@@ -211,19 +211,19 @@
     return outcome.endpoint.name
 
 
-def test_prompt_goes_to_an_engine_that_begins_in_time():
+def test_prompt_is_sent_to_an_engine_that_starts_it_in_time():
     pool = Pool()
     pool.queue(2000, 'e1', 'e2', 'e4')
     assert engine_name(pool.admit(chosen='e1')) == 'e3'
 
 
-def test_chosen_engine_that_is_in_time_stays_chosen():
+def test_chosen_engine_is_kept_if_it_starts_in_time():
     pool = Pool()
     pool.queue(900, 'e1')
     assert engine_name(pool.admit(chosen='e1')) == 'e1'
 
 
-def test_prompt_is_refused_only_if_no_engine_is_in_time():
+def test_prompt_is_refused_only_if_no_engine_starts_it_in_time():
     pool = Pool()
     pool.queue(2000, 'e1', 'e2', 'e4')
     pool.queue(1100, 'e3')
@@ -234,7 +234,7 @@
 
 
 @pytest.mark.parametrize('admission', ['target', 'always'])
-def test_baselines_ask_no_other_engine(admission: str):
+def test_baselines_try_no_other_engine(admission: str):
     pool = Pool(admission=admission)
     pool.queue(2000, 'e1')
     outcome = pool.admit(chosen='e1')
@@ -249,13 +249,13 @@
 
 
 @pytest.mark.parametrize('admission', ['target', 'always'])
-def test_baselines_tell_nothing_of_customers(admission: str):
+def test_baselines_report_no_customer_work(admission: str):
     pool = Pool(admission=admission)
     assert engine_name(pool.admit(chosen='e1')) == 'e1'
     assert not pool.knowledge.customer_work.take_unreported()
 
 
-def test_engine_that_is_left_out_gives_no_room():
+def test_unreachable_engine_gets_no_prompt():
     pool = Pool()
     pool.queue(2000, 'e1', 'e2', 'e4')
     pool.knowledge.health.note_unreachable('e3')
@@ -280,7 +280,7 @@
     assert entry[3] == 0
 
 
-def test_prompts_that_nothing_caches_spread_over_engines_in_time():
+def test_uncached_prompts_spread_over_engines_in_time():
     pool = Pool(engines=21)
     pool.queue(2000, 'e1')
     chosen = Counter(
@@ -289,7 +289,7 @@
     assert max(chosen.values()) < 40
 
 
-def test_small_pool_is_asked_for_no_other_engine():
+def test_small_pool_tries_no_other_engine():
     pool = Pool()
     pool.knowledge._large_pool = 5
     pool.queue(2000, 'e1')
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -114,12 +114,12 @@
                 yield group, gateway
 
 
-def test_enough_for_all_needs_no_shares():
+def test_share_is_infinite_if_supply_meets_demand():
     assert fair_share([1, 2, 3], 6) == math.inf
     assert fair_share([], 6) == math.inf
 
 
-def test_what_small_ones_leave_goes_to_large_ones():
+def test_supply_left_by_small_demands_goes_to_large_ones():
     assert fair_share([1, 2, 9], 9) == 6
     assert fair_share([1, 8, 9], 9) == 4
 
@@ -128,7 +128,7 @@
     st.lists(st.floats(min_value=0.1, max_value=1e6), min_size=1),
     st.floats(min_value=0.1, max_value=1e6),
 )
-def test_shares_use_all_there_is_and_no_more(
+def test_shares_use_exactly_the_supply(
     demands: list[float], supply: float
 ):
     share = fair_share(demands, supply)
@@ -136,12 +136,12 @@
     assert used == pytest.approx(min(supply, sum(demands)))
 
 
-def test_what_waits_is_not_done():
+def test_pending_tokens_are_not_done_work():
     assert work_done(1000, 300) == 700
     assert work_done(1000, 4000) == 500
 
 
-def test_use_is_halfway_between_what_was_asked_and_given():
+def test_use_is_the_geometric_mean_of_asked_and_given_work():
     # At equal given work, a customer that asks for more uses more.
     uses = [
         relative_use(Work(asked=asked, given=1000), 1000)
@@ -150,11 +150,11 @@
     assert uses == [1, 2]
 
 
-def test_customer_behind_its_share_is_not_held_back():
+def test_customer_far_below_its_share_is_not_limited():
     assert relative_use(Work(asked=40_000, given=400), 1000) == 1
 
 
-def test_customer_above_its_share_is_known_and_no_other():
+def test_only_the_customer_above_its_share_is_limited():
     site = Site(gateways=3)
     site.run()
     for gateway in site.gateways:
@@ -162,14 +162,14 @@
         assert {gateway.relative_use(customer) for customer in USUAL} == {1}
 
 
-def test_nobody_is_above_a_share_while_all_is_given():
+def test_no_customer_exceeds_its_share_while_all_work_is_given():
     gateway = Gateway(clock=ManualClock(start_ms=1000))
     gateway.ask(HOT, USUAL_TICK_TOKENS * HOT_FACTOR, 1)
     gateway.ask('aker', USUAL_TICK_TOKENS, 1)
     assert gateway.relative_use(HOT) == 1
 
 
-def test_work_that_waits_shows_who_is_above_before_any_refusal():
+def test_pending_work_reveals_a_heavy_customer_before_any_refusal():
     work = {
         HOT: Work(asked=12_000, given=12_000),
         'aker': Work(asked=2000, given=2000),
@@ -179,7 +179,7 @@
     assert shares.relative_use('aker') == 1
 
 
-def test_lost_message_changes_little():
+def test_lost_report_changes_relative_use_little():
     site = Site(gateways=3)
     site.run()
     # The report of one gateway for a tenth of a second is lost.
@@ -193,7 +193,7 @@
     assert uses == pytest.approx([HOT_USE, HOT_USE, HOT_USE], rel=0.05)
 
 
-def test_gateway_that_starts_holds_nobody_back_and_knows_soon():
+def test_started_gateway_limits_no_customer_until_it_has_reports():
     site = Site(gateways=2)
     site.run()
     started = Gateway(clock=site.clock)
@@ -205,7 +205,7 @@
     assert started.relative_use(HOT) > 1
 
 
-def test_halves_that_are_cut_apart_judge_alike_what_uses_both():
+def test_partitioned_halves_agree_on_a_customer_of_both():
     site = Site(gateways=4)
     site.run()
     site.groups = [site.gateways[:2], site.gateways[2:]]
@@ -228,13 +228,13 @@
     return site.gateways[1].relative_use('one-sided')
 
 
-def test_cut_misjudges_by_the_ratio_of_the_whole_to_the_half_at_most():
+def test_partition_at_most_doubles_the_relative_use():
     use = one_sided_use([slice(0, 4)])
     assert use > 1
     assert use < one_sided_use([slice(0, 2), slice(2, 4)]) <= use * 2
 
 
-def test_gateway_of_the_version_before_is_not_counted():
+def test_gateway_of_an_older_version_is_ignored():
     site = Site(gateways=3)
     site.silent = site.gateways[:1]
     site.run()
@@ -243,13 +243,13 @@
         assert {gateway.relative_use(customer) for customer in USUAL} == {1}
 
 
-def test_fields_of_a_later_version_are_passed_over():
+def test_fields_of_a_later_version_are_ignored():
     gateway = Gateway(clock=ManualClock(start_ms=1000))
     report = [[POOL, HOT, 4000, 2000, 'later']]
     note_activity(Activity(work=report), gateway.knowledge)
     assert gateway.knowledge.customer_work.decayed_work(POOL)[HOT].given == 2000
 
 
-def test_nonsense_of_a_peer_is_no_fault():
+def test_negative_work_of_a_peer_is_tolerated():
     assert relative_use(Work(asked=4000, given=-500), 100) <= 1
     assert relative_use(Work(asked=-4000, given=500), 100) == 0
--- a/tests/test_full_gaps.py
+++ b/tests/test_full_gaps.py
@@ -15,7 +15,7 @@
     return ManualClock(start_ms=1000)
 
 
-def test_slow_spells_do_not_change_the_typical_gap(clock: ManualClock):
+def test_slowdowns_do_not_change_the_typical_gap(clock: ManualClock):
     window = FullGaps(clock=clock).find('e')
     for gap_ms in (80, 190, 85, 190, 80, 190, 85, 190):
         window.add(gap_ms)
@@ -23,14 +23,14 @@
     assert max(window.gaps_ms) == 190
 
 
-def test_engine_with_few_gaps_is_not_judged(clock: ManualClock):
+def test_typical_gap_needs_enough_samples(clock: ManualClock):
     window = FullGaps(clock=clock).find('e')
     for _stream in range(5):
         window.add(80)
     assert window.typical_ms is None
 
 
-def test_old_gaps_go_once_there_are_newer_ones(clock: ManualClock):
+def test_old_gaps_are_dropped_for_newer_ones(clock: ManualClock):
     window = FullGaps(clock=clock).find('e')
     for _stream in range(8):
         window.add(80)
@@ -41,7 +41,7 @@
     assert window.typical_ms == 170
 
 
-def test_gaps_are_told_once_and_few_of_them(clock: ManualClock):
+def test_few_gaps_are_reported_and_only_once(clock: ManualClock):
     gaps = FullGaps(clock=clock, reports_gaps=True)
     for _stream in range(20):
         gaps.find('e').note(90)
@@ -58,7 +58,7 @@
     assert receiver.take_unreported() == []
 
 
-def test_gateway_that_starts_is_told_enough(clock: ManualClock):
+def test_started_gateway_receives_enough_gaps(clock: ManualClock):
     gaps = FullGaps(clock=clock, reports_gaps=True)
     for gap_ms in range(80, 100):
         gaps.find('e').note(gap_ms)
@@ -69,14 +69,14 @@
     assert started.find('e').typical_ms is not None
 
 
-def test_nothing_is_told_where_no_groups_are_asked_for(clock: ManualClock):
+def test_no_gaps_are_reported_by_default(clock: ManualClock):
     gaps = FullGaps(clock=clock)
     gaps.find('e').note(90)
     assert gaps.take_unreported() == []
     assert gaps.encode_all() == []
 
 
-def test_engines_that_are_gone_are_forgotten(clock: ManualClock):
+def test_gaps_of_unlisted_engines_are_removed(clock: ManualClock):
     gaps = FullGaps(clock=clock, reports_gaps=True)
     gaps.find('e').note(90)
     gaps.retain_only(set())
@@ -88,7 +88,7 @@
     [(100, 40_000, True), (100, 8000, False), (40, 40_000, False)],
     ids=['during prefill', 'prefill may have ended', 'as long as idle gap'],
 )
-def test_gap_counts_if_reads_filled_it(
+def test_gap_is_sampled_during_prefill_only(
     clock: ManualClock, gap_ms: int, prefill_tokens: int, *, is_stored: bool
 ):
     window = FullGaps(clock=clock).find('e')
--- a/tests/test_gateway_load.py
+++ b/tests/test_gateway_load.py
@@ -56,7 +56,7 @@
     assert not table.own
 
 
-def test_load_that_was_brought_stays_as_it_was():
+def test_load_entry_does_not_change_the_load_passed_in():
     load = EndpointLoad(running=1, prefill_tokens=500, streams={200: 1})
     entry = LoadTable().start('one', load)
     entry.begin_output()
@@ -65,7 +65,7 @@
     assert load.streams == {200: 1}
 
 
-def test_load_adds_up_over_peers():
+def test_total_load_includes_peers():
     table = LoadTable()
     table.start('one', EndpointLoad(running=1))
     table.merge_from_peer('peer', [('one', EndpointLoad(running=2))], whole=True)
@@ -80,7 +80,7 @@
     assert table.total('one').running == 1
 
 
-def test_work_that_a_peer_has_ended_is_gone():
+def test_ended_work_of_a_peer_is_removed():
     table = LoadTable()
     for peer in ('a', 'b'):
         table.merge_from_peer(
@@ -94,7 +94,7 @@
     assert table.total('one').running == 0
 
 
-def test_peers_hear_what_changed_and_what_ended():
+def test_changed_and_ended_work_is_reported_to_peers():
     table = LoadTable()
     entry = table.start('one', EndpointLoad(running=1))
     assert table.take_unreported()['one'].running == 1
@@ -103,7 +103,7 @@
     assert table.take_unreported()['one'].running == 0
 
 
-def test_sum_fades(clock: ManualClock):
+def test_decaying_sum_halves_after_its_half_life(clock: ManualClock):
     decaying_sum = DecayingSum(half_life_ms=1000)
     decaying_sum.add(4000, clock.now_ms())
     assert decaying_sum.at(clock.now_ms()) == pytest.approx(4000)
@@ -111,7 +111,7 @@
     assert decaying_sum.at(clock.now_ms()) == pytest.approx(2000)
 
 
-def test_streams_are_counted_by_the_pause_they_bear():
+def test_streams_are_counted_by_their_token_gap_bound():
     table = LoadTable()
     entry = table.start('one', EndpointLoad(running=1, streams={200: 1}))
     table.start('one', EndpointLoad(running=1, streams={200: 1, 300: 1}))
@@ -124,7 +124,7 @@
     assert table.total('one').running == 2
 
 
-def test_work_is_the_same_after_the_wire():
+def test_loads_survive_encoding_and_decoding():
     load = EndpointLoad(
         running=3,
         prefill_tokens=7,
@@ -150,7 +150,7 @@
     )
 
 
-def test_replica_only_moves_up():
+def test_replica_ignores_older_revisions():
     changes = []
     replica = make_replica(changes)
     assert replica.apply_changes(reading(5, stored('a', 5))) == 1
@@ -161,7 +161,7 @@
     assert changes == [('a', False), ('a', True)]
 
 
-def test_list_removes_what_it_lacks_but_not_what_is_newer():
+def test_list_removes_missing_objects_unless_they_are_newer():
     changes = []
     replica = make_replica(changes)
     replica.apply_changes(reading(5, stored('old', 5)))
@@ -170,7 +170,7 @@
     assert changes[2:] == [('a', False), ('old', True)]
 
 
-def test_gone_event_with_the_last_revision_counts_once():
+def test_deletion_with_the_last_revision_counts_once():
     changes = []
     replica = make_replica(changes)
     replica.apply_changes(reading(5, stored('a', 5)))
@@ -179,7 +179,7 @@
     assert changes == [('a', False), ('a', True)]
 
 
-def test_object_that_went_and_came_within_one_reading_is_there():
+def test_object_deleted_and_created_within_one_reading_exists():
     changes = []
     replica = make_replica(changes)
     replica.apply_changes(reading(5, stored('a', 5)))
@@ -188,7 +188,7 @@
     assert changes[-1] == ('a', False)
 
 
-def test_peer_gets_what_it_lacks():
+def test_peer_gets_missing_changes():
     replica = make_replica([])
     replica.apply_changes(reading(5, stored('a', 5), stored('b', 4)))
     replica.apply_changes(reading(8, stored('a', 5, gone=True)))
@@ -199,7 +199,7 @@
     assert other.revision == 8
 
 
-def test_single_endpoint_that_went_is_not_used(clock: ManualClock):
+def test_single_removed_endpoint_is_not_used(clock: ManualClock):
     table = EndpointTable(clock=clock)
     for name in ('one', 'two', 'three'):
         table.put(make_endpoint(name))
@@ -208,7 +208,7 @@
     assert names == ['two', 'three']
 
 
-def test_entries_that_lapsed_together_still_serve(clock: ManualClock):
+def test_endpoints_are_usable_after_their_entries_lapsed_together(clock: ManualClock):
     table = EndpointTable(clock=clock)
     for name in ('one', 'two', 'three'):
         table.put(make_endpoint(name))
@@ -219,14 +219,14 @@
     assert [each.name for each in table.usable('pool')] == ['three']
 
 
-def test_endpoint_that_drained_is_gone_at_once(clock: ManualClock):
+def test_drained_endpoint_is_removed_at_once(clock: ManualClock):
     table = EndpointTable(clock=clock)
     table.put(make_endpoint('one', draining=True))
     table.remove('one')
     assert not table.usable('pool')
 
 
-def test_events_are_cut_at_their_ends():
+def test_event_stream_is_split_at_event_boundaries():
     splitter = EventSplitter()
     assert splitter.feed(b'id: 1\nda') == b''
     assert splitter.has_partial_event
--- a/tests/test_gateway_requests.py
+++ b/tests/test_gateway_requests.py
@@ -43,7 +43,7 @@
         server.faults = [fault for _answer in range(times)]
 
 
-def test_answer_is_the_endpoints(plain_site: GatewaySite):
+def test_answer_of_the_endpoint_is_relayed(plain_site: GatewaySite):
     answer = plain_site.ask('/safe/x?y=1', X_Attempt_Id='r1')
     assert answer.status == 200
     assert answer.whole
@@ -52,7 +52,7 @@
     assert answer.headers['x-attempt-id'] == 'r1'
 
 
-def test_endpoint_sees_the_request_without_the_key(plain_site: GatewaySite):
+def test_endpoint_receives_the_request_without_the_key(plain_site: GatewaySite):
     plain_site.ask(
         '/unsafe/x',
         method='POST',
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize(
     'fault', [*UNUSABLE_ANSWERS, 'error', 'shed', 'foreign']
 )
-def test_repeatable_request_is_sent_again(plain_site: GatewaySite, fault: str):
+def test_repeatable_request_is_retried(plain_site: GatewaySite, fault: str):
     plain_site.servers['one'].faults = [fault]
     answers = [
         plain_site.ask('/safe/x', X_Attempt_Id=f'r{number}')
@@ -117,7 +117,7 @@
     assert all_run_ids(plain_site) == ['r1']
 
 
-def test_unrepeatable_failure_of_the_endpoint_is_passed_on(
+def test_failure_answer_to_unrepeatable_request_is_relayed(
     plain_site: GatewaySite,
 ):
     set_faults(plain_site, 'error')
@@ -135,7 +135,7 @@
     assert not all_run_ids(plain_site)
 
 
-def test_no_more_endpoints_than_the_route_allows(plain_site: GatewaySite):
+def test_attempts_are_limited_by_the_route(plain_site: GatewaySite):
     plain_site.add_server('three')
     wait_until(lambda: len(plain_site.gateways[0].status()['endpoints']) == 3)
     set_faults(plain_site, 'error', times=3)
@@ -144,7 +144,7 @@
     assert len(all_run_ids(plain_site)) == 2
 
 
-def test_endpoint_that_takes_no_connection_costs_no_attempt(
+def test_refused_connection_is_not_counted_as_an_attempt(
     plain_site: GatewaySite,
 ):
     plain_site.servers['one'].stop()
@@ -155,7 +155,7 @@
         assert answer.status == 200
 
 
-def test_no_endpoint_is_refused_as_not_run(plain_site: GatewaySite):
+def test_request_without_reachable_endpoint_is_refused_as_not_run(plain_site: GatewaySite):
     for server in plain_site.servers.values():
         server.stop()
     answer = plain_site.ask('/unsafe/x', method='POST')
@@ -163,7 +163,7 @@
     assert 'retry-after' in answer.headers
 
 
-def test_bytes_after_an_answer_belong_to_no_request(plain_site: GatewaySite):
+def test_extra_bytes_after_an_answer_are_ignored(plain_site: GatewaySite):
     set_faults(plain_site, 'extra', times=2)
     for number in range(6):
         answer = plain_site.ask('/safe/x', X_Attempt_Id=f'r{number}')
@@ -180,14 +180,14 @@
     assert answer.whole
 
 
-def test_time_over_is_answered_at_once(plain_site: GatewaySite):
+def test_expired_deadline_is_answered_with_a_timeout(plain_site: GatewaySite):
     set_faults(plain_site, 'hang')
     answer = plain_site.ask('/unsafe/x', method='POST', X_Deadline_Ms='300')
     assert answer.status == 504
     assert len(all_run_ids(plain_site)) == 1
 
 
-def test_caller_that_leaves_ends_the_work(plain_site: GatewaySite):
+def test_run_is_cancelled_if_the_caller_disconnects(plain_site: GatewaySite):
     for server in plain_site.servers.values():
         server.delay_ms = 60_000
     caller = plain_site.connect_caller()
@@ -212,7 +212,7 @@
         ('/saf', API_KEY, 404),
     ],
 )
-def test_what_the_configuration_does_not_allow(
+def test_requests_without_route_or_key_are_refused(
     plain_site: GatewaySite,
     target: str,
     key: str,
@@ -238,7 +238,7 @@
 
 
 @pytest.mark.parametrize('garbage', [b'\x16\x03\x01\x00', b'GET\r\n\r\n'])
-def test_garbage_is_refused_and_nothing_else_suffers(
+def test_garbage_does_not_affect_other_requests(
     plain_site: GatewaySite,
     garbage: bytes,
 ):
@@ -253,14 +253,14 @@
     assert plain_site.ask('/safe/x').status == 200
 
 
-def test_connection_is_kept_for_the_next_request(plain_site: GatewaySite):
+def test_connection_is_reused_for_the_next_request(plain_site: GatewaySite):
     caller = plain_site.connect_caller()
     for number in range(3):
         caller.send('/safe/x', X_Attempt_Id=f'r{number}')
         assert f' r{number} '.encode() in caller.receive().body
 
 
-def test_budget_bounds_second_sendings(gateway_site: GatewaySite):
+def test_retry_budget_limits_retries(gateway_site: GatewaySite):
     gateway_site.add_server('one')
     gateway_site.add_server('two')
     gateway_site.add_gateway(resend={'ratio': 0, 'slack': 2.5, 'window_s': 60})
@@ -270,7 +270,7 @@
     assert len(all_run_ids(gateway_site)) == 6 + 2
 
 
-def test_budget_is_shared_with_gateways_out_of_reach(
+def test_retry_budget_is_divided_with_unreachable_gateways(
     gateway_site: GatewaySite,
 ):
     gateway_site.add_server('one')
@@ -297,7 +297,7 @@
     assert not plain_site.servers['one'].runs
 
 
-def test_planned_stop_finishes_what_runs(plain_site: GatewaySite):
+def test_planned_stop_completes_running_requests(plain_site: GatewaySite):
     for server in plain_site.servers.values():
         server.delay_ms = 400
     reused, fresh = plain_site.connect_caller(), plain_site.connect_caller()
@@ -327,7 +327,7 @@
     assert caller.receive().status == 200
 
 
-def test_planned_stop_serves_a_request_that_waits_unread(
+def test_planned_stop_serves_a_late_request_on_an_idle_connection(
     plain_site: GatewaySite,
 ):
     gateway = plain_site.gateways[0]
@@ -343,7 +343,7 @@
     stopping.join()
 
 
-def test_only_success_speaks_for_a_request(gateway_site: GatewaySite):
+def test_only_successful_runs_are_recorded_as_served(gateway_site: GatewaySite):
     # A failing endpoint answers 500 without running a request that crashes
     # other endpoints.
     server = gateway_site.add_server('one')
--- a/tests/test_gateway_retry_budget.py
+++ b/tests/test_gateway_retry_budget.py
@@ -19,7 +19,7 @@
     return sum(budget.take(pool) for _retry in range(100))
 
 
-def test_slack_is_used_up_and_comes_back(clock: ManualClock):
+def test_slack_is_restored_after_the_window(clock: ManualClock):
     budget = make_budget(clock)
     assert count_allowed(budget) == 10
     clock.advance(9_999)
@@ -28,20 +28,20 @@
     assert count_allowed(budget) == 10
 
 
-def test_fresh_requests_earn_more(clock: ManualClock):
+def test_requests_increase_the_budget(clock: ManualClock):
     budget = make_budget(clock, slack=0, ratio=0.5)
     for _request in range(100):
         budget.note_request('pool')
     assert count_allowed(budget) == 40
 
 
-def test_routers_share_the_slack(clock: ManualClock):
+def test_gateways_share_the_slack(clock: ManualClock):
     budget = make_budget(clock)
     budget.set_gateway_count(5)
     assert count_allowed(budget) == 2
 
 
-def test_pools_have_budgets_of_their_own(clock: ManualClock):
+def test_each_pool_has_its_own_budget(clock: ManualClock):
     budget = make_budget(clock)
     assert count_allowed(budget, 'one') == 10
     assert count_allowed(budget, 'two') == 10
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -34,14 +34,14 @@
         server.faults = [fault]
 
 
-def test_stream_is_passed_on_whole(engine_site: GatewaySite):
+def test_stream_is_forwarded_completely(engine_site: GatewaySite):
     answer = engine_site.ask('/stream/x', method='POST', **PROMPT)
     assert answer.status == 200
     assert answer.whole
     assert parse_event_ids(answer.body) == [1, 2, 3]
 
 
-def test_events_pass_as_they_arrive(engine_site: GatewaySite):
+def test_events_are_forwarded_as_they_arrive(engine_site: GatewaySite):
     for server in engine_site.servers.values():
         server.event_ms = 150
     caller = engine_site.connect_caller()
@@ -52,7 +52,7 @@
     assert b'id: 3\n' not in received
 
 
-def test_engine_gets_the_tier_and_the_prompt(engine_site: GatewaySite):
+def test_engine_receives_priority_and_prompt_headers(engine_site: GatewaySite):
     engine_site.ask('/stream/x', method='POST', **PROMPT)
     (run,) = [run for each in engine_site.servers.values() for run in each.runs]
     # The customer's priority ranks above the only tier of routes.
@@ -60,7 +60,7 @@
     assert run.headers['x-prompt-prefix'] == 'aa:200,bb:100'
 
 
-def test_stream_goes_on_at_another_engine(engine_site: GatewaySite):
+def test_cut_stream_resumes_at_another_engine(engine_site: GatewaySite):
     cut_once = ['cut']
     for server in engine_site.servers.values():
         server.events = 6
@@ -92,14 +92,14 @@
     assert sum(len(each.runs) for each in engine_site.servers.values()) == 1
 
 
-def test_callers_resumption_reaches_the_engine(engine_site: GatewaySite):
+def test_last_event_id_of_the_caller_is_sent_to_the_engine(engine_site: GatewaySite):
     answer = engine_site.ask(
         '/stream/x', method='POST', Last_Event_Id='1', **PROMPT
     )
     assert parse_event_ids(answer.body) == [2, 3]
 
 
-def test_prompts_that_share_a_part_meet_at_one_engine(
+def test_prompts_with_a_shared_part_go_to_one_engine(
     engine_site: GatewaySite,
 ):
     for number in range(6):
@@ -113,7 +113,7 @@
     assert counts == [0, 6]
 
 
-def test_gateways_agree_where_a_part_is(engine_site: GatewaySite):
+def test_gateways_send_a_shared_part_to_the_same_engine(engine_site: GatewaySite):
     engine_site.add_gateway()
     second = engine_site.gateways[1]
     wait_until(lambda: second.status()['peers'])
@@ -132,7 +132,7 @@
     assert len(caching_engine.runs) == 2
 
 
-def test_failure_before_the_first_event_is_not_seen(engine_site: GatewaySite):
+def test_failure_before_the_first_event_is_retried(engine_site: GatewaySite):
     engine_site.servers['one'].faults = ['reset']
     engine_site.servers['two'].faults = []
     for number in range(4):
@@ -142,7 +142,7 @@
         assert answer.whole
 
 
-def test_part_is_found_in_a_large_pool(engine_site: GatewaySite):
+def test_cached_part_is_found_in_a_large_pool(engine_site: GatewaySite):
     names = [f'server-{number}' for number in range(70)]
     for name in names:
         engine_site.add_server(name, 'engines')
@@ -155,7 +155,7 @@
     assert sorted(counts)[-2:] == [0, 3]
 
 
-def test_engine_copies_what_another_keeps(gateway_site: GatewaySite):
+def test_idle_engine_copies_a_cached_part_from_another(gateway_site: GatewaySite):
     engine = gateway_site.config['services'][1]['engine']
     engine.update(kv_token_bytes=18_432, link_mbps=180_000, moves=True)
     gateway_site.write_config()
@@ -173,7 +173,7 @@
     assert run.headers['kv-fetch'] == keeper.address
 
 
-def test_urgent_route_is_spared_whatever_its_customers_priority(
+def test_urgent_route_is_admitted_for_all_customer_priorities(
     gateway_site: GatewaySite,
 ):
     gateway_site.config['routes'] = [
@@ -191,7 +191,7 @@
     assert gateway_site.ask('/urgent/x', **PROMPT).status == 200
 
 
-def test_callers_cannot_name_an_engine_to_copy_from(engine_site: GatewaySite):
+def test_caller_cannot_choose_the_engine_to_copy_from(engine_site: GatewaySite):
     engine_site.ask('/stream/x', method='POST', Kv_Fetch='10.0.0.1:1', **PROMPT)
     (run,) = [run for each in engine_site.servers.values() for run in each.runs]
     assert 'kv-fetch' not in run.headers
--- a/tests/test_heartbeat_schedule.py
+++ b/tests/test_heartbeat_schedule.py
@@ -30,25 +30,25 @@
     return sent
 
 
-def test_messages_stay_bounded_as_gateways_grow():
+def test_message_rate_is_bounded_as_gateways_grow():
     assert count_heartbeats(3) == 100
     for peers in (10, 30, 100, 300):
         assert count_heartbeats(peers) * peers <= 1400
 
 
-def test_changes_of_objects_do_not_wait():
+def test_object_changes_are_sent_at_next_tick():
     assert count_heartbeats(300, watching=True) == 100
 
 
-def test_quiet_gateway_is_heard_each_second():
+def test_idle_gateway_sends_heartbeat_each_second():
     assert count_heartbeats(20, changes=False) == 10
 
 
-def test_watcher_is_heard_each_second_however_many_there_are():
+def test_watcher_sends_heartbeat_each_second_with_many_peers():
     assert count_heartbeats(300, changes=False, watching=True) == 10
 
 
-def test_silence_is_longer_than_some_beats():
+def test_silence_timeout_spans_three_intervals():
     for peers in (1, 30, 300, 1000):
         assert silence_timeout_ms(peers) >= 3 * heartbeat_interval_ms(peers)
 
--- a/tests/test_held_calls.py
+++ b/tests/test_held_calls.py
@@ -8,7 +8,7 @@
 SLOTS = AdmissionSlots(first_ms=300, interval_ms=500)
 
 
-def test_each_is_told_a_time_of_its_own():
+def test_each_deferred_call_gets_its_own_slot():
     deferred = DeferredCalls()
     delays_ms = [deferred.defer(POOL, 0, SLOTS, 1000) for _call in range(4)]
     assert delays_ms == [300, 800, 1300, 1800]
@@ -16,20 +16,20 @@
     assert deferred.defer(POOL, 0, SLOTS, 1500) == 1800
 
 
-def test_pools_are_told_apart():
+def test_each_pool_has_its_own_slots():
     deferred = DeferredCalls()
     deferred.defer(POOL, 0, SLOTS, 1000)
     assert deferred.defer('plain', 0, SLOTS, 1000) == 300
 
 
-def test_crowd_does_not_turn_callers_away_for_long():
+def test_burst_does_not_defer_callers_for_long():
     deferred = DeferredCalls()
     delays_ms = [deferred.defer(POOL, 0, SLOTS, 1000) for _call in range(1000)]
     assert max(delays_ms) <= 10_300
     assert deferred.defer(POOL, 0, SLOTS, 30_000) == 300
 
 
-def test_what_is_free_is_kept_for_a_more_urgent_tier():
+def test_free_capacity_is_reserved_for_a_more_urgent_tier():
     deferred = DeferredCalls()
     deferred.defer(POOL, 1, SLOTS, 1000)
     assert deferred.must_yield(POOL, 2, 1001)
--- a/tests/test_hot_customer.py
+++ b/tests/test_hot_customer.py
@@ -159,7 +159,7 @@
 
 
 @pytest.mark.processes
-def test_hot_customer_takes_nothing_from_others(tmp_path: pathlib.Path):
+def test_hot_customer_does_not_reduce_service_of_others(tmp_path: pathlib.Path):
     load = run_load(tmp_path, 'fair')
     assert load.percent_in_target(*NORMAL_CUSTOMERS) > 90
     # The hot customer gets the remaining capacity.
--- a/tests/test_kept_engines.py
+++ b/tests/test_kept_engines.py
@@ -132,7 +132,7 @@
     return simulated
 
 
-def test_baseline_narrows_nothing():
+def test_baseline_policy_reserves_no_engines():
     simulated = Gateway(reserve_none)
     simulated.start_streams(300)
     simulated.advance(3)
@@ -140,14 +140,14 @@
     assert simulated.reserved.status() == {}
 
 
-def test_streams_with_short_gaps_go_where_reads_are_harmless(gateway: Gateway):
+def test_short_gap_streams_go_to_engines_that_keep_the_bound(gateway: Gateway):
     assert gateway.choose(SHORT) == QUICK
     assert gateway.choose(LONG) == QUICK | SLOW
     assert gateway.reserved.safe_gap_ms(POOL, 'q-0') == SHORT_MS
     assert gateway.reserved.safe_gap_ms(POOL, 's-0') == LONG_MS
 
 
-def test_streams_without_room_in_their_group_go_to_the_whole_pool(
+def test_streams_use_whole_pool_if_their_group_is_full(
     gateway: Gateway,
 ):
     gateway.start_streams(SLOTS * len(QUICK))
@@ -155,7 +155,7 @@
     assert gateway.choose(SHORT) == QUICK | SLOW
 
 
-def test_long_reads_leave_engines_to_many_streams(gateway: Gateway):
+def test_engines_close_to_long_prefills_for_many_streams(gateway: Gateway):
     gateway.start_streams(200)
     gateway.advance(3)
     assert gateway.closed
@@ -165,7 +165,7 @@
     assert gateway.choose(SHORT) == gateway.closed
 
 
-def test_closed_engine_without_a_stream_takes_what_would_begin_late(
+def test_closed_engine_without_streams_takes_late_long_prompt(
     gateway: Gateway,
 ):
     streams = gateway.start_streams(200)
@@ -180,7 +180,7 @@
     assert closed <= gateway.choose(LONG)
 
 
-def test_engines_are_closed_one_after_the_other_and_opened_later(
+def test_engines_close_one_at_a_time_and_reopen_later(
     gateway: Gateway,
 ):
     streams = gateway.start_streams(280)
@@ -199,7 +199,7 @@
     assert not gateway.closed
 
 
-def test_nothing_is_closed_once_no_long_reads_come(gateway: Gateway):
+def test_no_engine_is_closed_without_long_prompts(gateway: Gateway):
     gateway.start_streams(280)
     gateway.advance(3)
     assert gateway.closed
@@ -207,7 +207,7 @@
     assert not gateway.closed
 
 
-def test_nothing_moves_while_the_streams_of_lost_engines_are_sent_again(
+def test_groups_are_frozen_after_loss_of_engines(
     gateway: Gateway,
 ):
     gateway.advance(1)
@@ -221,7 +221,7 @@
     assert gateway.closed
 
 
-def test_halves_that_are_cut_apart_close_parts_of_one_order():
+def test_partitioned_gateways_close_engines_in_one_order():
     one, other = Gateway(), Gateway()
     one.start_streams(200)
     other.start_streams(280)
@@ -231,7 +231,7 @@
     assert one.closed < other.closed
 
 
-def test_pool_is_looked_at_some_times_a_second():
+def test_pool_update_rate_is_limited():
     updates = []
 
     def record_update(pool: object) -> None:
@@ -244,7 +244,7 @@
     assert len(updates) <= 1 + math.ceil(1000 / UPDATE_INTERVAL_MS)
 
 
-def test_size_grows_sooner_than_it_shrinks():
+def test_group_size_grows_faster_than_it_shrinks():
     size = GroupSize()
     changes = [size.step_towards(5, now_ms) for now_ms in range(0, 1000, 50)]
     assert sum(changes) == size.engines == 4
--- a/tests/test_last_event.py
+++ b/tests/test_last_event.py
@@ -30,26 +30,26 @@
     )
 
 
-def test_events_follow_each_other_without_reads():
+def test_events_have_idle_gaps_without_prefills():
     # Twenty events have nineteen gaps.
     assert last_ms(engine(), pending=0) == FIRST_MS + 19 * IDLE_MS
 
 
 @pytest.mark.parametrize('output', [0, 1, 4])
-def test_answer_of_one_event_ends_with_its_first(output: int):
+def test_answer_of_one_event_ends_with_first_event(output: int):
     assert last_ms(engine(), pending=50_000, output=output) == FIRST_MS
 
 
-def test_reads_hold_up_events_for_as_long_as_they_take():
+def test_prefill_delays_events_for_its_duration():
     # A prefill of 240 ms delays two of the gaps.
     delayed_ms = FIRST_MS + 2 * FULL_MS + 17 * IDLE_MS
     assert last_ms(engine(), pending=9600) == pytest.approx(delayed_ms)
 
 
-def test_reads_hold_up_no_more_than_all_events():
+def test_prefill_delays_all_events_at_most():
     assert last_ms(engine(), pending=10**6) == FIRST_MS + 19 * FULL_MS
 
 
-def test_engine_without_a_long_gap_is_taken_to_have_none():
+def test_engine_without_full_gap_uses_idle_gaps():
     speed = EngineSpeed(tokens_per_ms=40)
     assert last_ms(speed, pending=9600) == FIRST_MS + 19 * IDLE_MS
--- a/tests/test_load_exchange.py
+++ b/tests/test_load_exchange.py
@@ -57,13 +57,13 @@
     assert site.messages[True] == 6
 
 
-def test_nothing_new_is_not_told(site: Site):
+def test_unchanged_loads_are_not_sent(site: Site):
     site.messages.clear()
     site.tick()
     assert not site.messages
 
 
-def test_work_of_a_relay_that_died_is_forgotten_and_the_rest_is_known(
+def test_load_of_a_dead_relay_is_removed_and_the_rest_is_known(
     site: Site,
 ):
     for gateway in site.gateways:
@@ -86,7 +86,7 @@
     assert known_counts(site) == {12}
 
 
-def test_zone_that_is_silent_is_forgotten(site: Site):
+def test_load_of_a_silent_zone_is_removed(site: Site):
     for gateway in site.gateways:
         start_request(gateway)
     site.tick()
@@ -121,7 +121,7 @@
     assert min(round(each * 10) for each in failure_rate) >= 6
 
 
-def test_change_of_the_relay_is_told(
+def test_change_of_the_relay_is_logged(
     site: Site,
     monkeypatch: pytest.MonkeyPatch,
 ):
@@ -141,7 +141,7 @@
     ]
 
 
-def test_gateway_that_leaves_is_no_relay(site: Site):
+def test_leaving_gateway_is_not_the_relay(site: Site):
     first = site.relay('a')
     for each in site.gateways:
         if first.name in each.sessions:
--- a/tests/test_load_replay.py
+++ b/tests/test_load_replay.py
@@ -35,13 +35,13 @@
     return 100 * ends[end] / ends.total()
 
 
-def test_replay_of_a_seed_repeats():
+def test_same_seed_gives_the_same_replay():
     first, again = (replay('empty-engines-at-the-height') for _run in range(2))
     assert first.ends == again.ends
     assert first.sent == again.sent
 
 
-def test_crowd_at_many_gateways_does_not_choose_the_same_engines():
+def test_burst_at_many_gateways_spreads_over_engines():
     ends = replay('herd').ends
     # If placement compares all engines, 36% of the long calls begin late; if it
     # compares four, 14% of the short calls exceed their token gap bound.
@@ -51,7 +51,7 @@
     assert share(ends['short'], 'paused') < 10
 
 
-def test_empty_engines_take_their_part_at_once():
+def test_added_engines_receive_their_share_at_once():
     played = replay('empty-engines-at-the-height')
     added = [f'i-{number}' for number in range(60, 75)]
     added_calls = sum(played.sent[name] for name in added)
@@ -60,7 +60,7 @@
     assert share(played.ends['long'], 'in target') > 97
 
 
-def test_loss_of_a_quarter_turns_nobody_away():
+def test_loss_of_a_quarter_of_engines_refuses_no_call():
     played = replay('quarter-of-engines-gone')
     # If placement compares all engines, 19% of the long calls begin late. If
     # calls are given up after four engines that accept no connection, 2% are.
@@ -83,7 +83,7 @@
     return share(others, 'in target'), played.count('in target')
 
 
-def test_hot_customer_takes_nothing_from_others():
+def test_hot_customer_does_not_reduce_service_of_others():
     alone, _served = share_of_other_customers('fair', hot=False)
     beside, served = share_of_other_customers('fair', hot=True)
     # With admission by targets alone the others fall from 99% to 87%.
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize('seed', [1, 2, 3])
-def test_gateways_know_engines_of_two_speeds(seed: int):
+def test_gateways_estimate_engines_of_two_speeds(seed: int):
     played = replay(
         'engines-of-two-speeds',
         seed,
@@ -117,7 +117,7 @@
     assert share(played.ends['short'], 'late') < 1
 
 
-def test_streams_with_short_gaps_are_kept_from_long_reads():
+def test_streams_with_short_gaps_are_separated_from_long_prefills():
     name = 'short-gaps-beside-reads'
     before, after = (
         replay(name, engine_groups=rule) for rule in ('none', 'by_gap')
--- a/tests/test_long_reads.py
+++ b/tests/test_long_reads.py
@@ -8,7 +8,7 @@
 from wingfall.gateway.knowledge.long_reads import LongPrefills
 
 
-def test_reads_fade(clock: ManualClock):
+def test_prefill_tokens_decay(clock: ManualClock):
     prefills = LongPrefills(clock=clock)
     prefills.note('busy', 3000)
     prefills.note('busy', 1000)
@@ -18,7 +18,7 @@
     assert prefills.tokens('busy') == pytest.approx(2000)
 
 
-def test_engines_that_left_are_forgotten(clock: ManualClock):
+def test_prefills_of_unlisted_engines_are_removed(clock: ManualClock):
     prefills = LongPrefills(clock=clock)
     prefills.note('gone', 3000)
     prefills.retain_only({'other'})
--- a/tests/test_memory_survey.py
+++ b/tests/test_memory_survey.py
@@ -27,14 +27,14 @@
     return caches_part(gateway, 'e1', 'p1')
 
 
-def test_gateway_that_starts_learns_what_engines_keep(
+def test_new_gateway_gets_cached_parts_from_engines(
     caching_site: GatewaySite,
 ):
     gateway = caching_site.add_gateway()
     wait_until(lambda: knows_part(gateway))
 
 
-def test_gateway_that_starts_asks_a_peer_what_engines_keep(
+def test_new_gateway_gets_cached_parts_from_a_peer(
     caching_site: GatewaySite,
 ):
     first = caching_site.add_gateway()
@@ -46,7 +46,7 @@
     wait_until(lambda: knows_part(second))
 
 
-def test_what_an_engine_has_told_is_news_to_peers():
+def test_parts_of_an_engine_are_reported_to_peers():
     caches = PrefixCaches()
     parts = tuple(
         PromptPart(part_id=f'p{number}', tokens=1)
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize('fault', ['foreign', 'garbage', 'reset', 'hang'])
-def test_engine_that_answers_wrongly_changes_nothing(
+def test_faulty_engine_answer_changes_nothing(
     caching_site: GatewaySite,
     fault: str,
 ):
@@ -87,5 +87,5 @@
     'body',
     [b'', b'[]', b'{}', b'{"held":[["","p"]]}', b'{"held":[["","p","x",""]]}'],
 )
-def test_list_that_cannot_be_read_is_a_failure(body: bytes):
+def test_malformed_list_is_a_failure(body: bytes):
     assert not isinstance(read_memory(body), Success)
--- a/tests/test_object_exchange.py
+++ b/tests/test_object_exchange.py
@@ -84,7 +84,7 @@
     assert count_fetches(*local_peers) == 1
 
 
-def test_peer_that_does_not_answer_is_not_waited_for_long(
+def test_silent_peer_is_replaced_after_the_timeout(
     local_peers: list[PeerSession],
 ):
     gateway = _Gateway(revision=0)
@@ -94,7 +94,7 @@
     assert count_fetches(local_peers[1]) == 1
 
 
-def test_peer_that_ended_is_not_waited_for(local_peers: list[PeerSession]):
+def test_fetch_at_disconnected_peer_is_cancelled(local_peers: list[PeerSession]):
     gateway = _Gateway(revision=0)
     gateway.receive_revision(local_peers[0], 5)
     gateway.exchange.cancel_fetches(local_peers[0])
@@ -102,7 +102,7 @@
     assert count_fetches(local_peers[1]) == 1
 
 
-def test_further_change_is_asked_for_after_an_answer(
+def test_later_change_is_fetched_after_an_answer(
     local_peers: list[PeerSession],
 ):
     gateway = _Gateway(revision=0)
@@ -181,7 +181,7 @@
     assert not transfer.to_behind.outgoing_transfers
 
 
-def test_transfer_that_moves_is_not_asked_for_elsewhere(
+def test_active_transfer_is_not_requested_from_another_peer(
     local_peers: list[PeerSession],
 ):
     transfer = _TransferSetup()
@@ -195,7 +195,7 @@
     assert not count_fetches(local_peers[0])
 
 
-def test_each_late_chunk_doubles_the_time_that_is_given(
+def test_each_late_chunk_doubles_the_timeout(
     local_peers: list[PeerSession],
 ):
     gateway = _Gateway(revision=0)
@@ -208,7 +208,7 @@
     assert asked_ms == [0, 600, 1800, 4200, 9000]
 
 
-def test_chunk_that_does_not_follow_is_passed_over():
+def test_chunk_that_does_not_continue_the_transfer_is_ignored():
     transfer = _TransferSetup()
     transfer.begin()
     page = transfer.deliver_chunk()
@@ -236,7 +236,7 @@
         transfer.behind.exchange.process_page(transfer.to_ahead, page)
 
 
-def test_program_that_takes_whole_objects_only_is_given_them():
+def test_older_program_gets_whole_objects():
     ahead = _Gateway(revision=5)
     back = peer('older')
     ahead.exchange.send_objects(back, ObjectsFetch(kind=ROUTES_KIND, revision=4))
@@ -247,7 +247,7 @@
     assert behind.replica.revision == 5
 
 
-def test_object_that_a_peer_holds_is_not_given_again():
+def test_object_that_the_peer_has_is_not_sent():
     # The peer ahead has listed the store later; the object is the same.
     ahead = _Gateway(revision=0)
     ahead.replica.apply_list(
@@ -264,7 +264,7 @@
     assert behind.replica.revision == 9
 
 
-def test_object_that_is_gone_is_told_whatever_its_own_revision():
+def test_deleted_object_is_sent_whatever_its_revision():
     ahead = _Gateway(revision=5)
     ahead.replica.apply_list(StoreReading(revision=9, objects=[]))
     (gone,) = ahead.replica.since(7)
--- a/tests/test_parts_transfer.py
+++ b/tests/test_parts_transfer.py
@@ -56,7 +56,7 @@
     return [each.name for each in peers if each.connection.sent]
 
 
-def test_one_peer_that_knows_is_asked(gateway: _Gateway):
+def test_one_informed_peer_is_asked(gateway: _Gateway):
     peers = [peer('new', knows_caches=False), peer('one'), peer('two')]
     gateway.transfer.request_if_due(peers)
     gateway.transfer.request_if_due(peers)
@@ -80,7 +80,7 @@
     assert asked_peers(*peers) == ['one', 'two']
 
 
-def test_each_silent_peer_doubles_the_time_that_is_given(gateway: _Gateway):
+def test_each_silent_peer_doubles_the_timeout(gateway: _Gateway):
     peers = [peer('one'), peer('two')]
     asked_ms = []
     for now_ms in range(0, 8000, 100):
@@ -92,7 +92,7 @@
     assert asked_ms == [0, 1000, 3000, 7000]
 
 
-def test_gateway_is_informed_when_nobody_knows(gateway: _Gateway):
+def test_gateway_counts_as_informed_when_no_peer_is(gateway: _Gateway):
     new = peer('new', knows_caches=False)
     gateway.clock.advance(2900)
     gateway.transfer.request_if_due([new])
@@ -104,7 +104,7 @@
     assert gateway.transfer.knows_caches
 
 
-def test_what_a_peer_tells_is_known(gateway: _Gateway):
+def test_parts_of_an_answer_are_recorded(gateway: _Gateway):
     informed, session = _Gateway(), peer('one')
     informed.caches.find('e1').note(PARTS)
     informed.transfer.send_parts(session, PartsFetch(most=10))
@@ -132,7 +132,7 @@
     assert not gateway.transfer.knows_caches
 
 
-def test_engines_are_shared_out_among_gateways():
+def test_engines_are_distributed_among_gateways():
     names = [f'gateway-{number}' for number in range(9)]
     engines = [SimpleNamespace(name=f'e{number}') for number in range(30)]
     chosen = {name: choose_engines(name, names, engines) for name in names}
@@ -143,12 +143,12 @@
     assert sum(query_counts) >= 50
 
 
-def test_gateway_alone_asks_as_many_as_it_may():
+def test_single_gateway_queries_engines_up_to_the_limit():
     engines = [SimpleNamespace(name=f'e{number}') for number in range(30)]
     assert len(choose_engines('gateway-0', [], engines)) == 12
 
 
-def test_sharing_out_does_not_grow_with_gateways_times_engines(
+def test_hashing_does_not_grow_with_gateways_times_engines(
     monkeypatch: pytest.MonkeyPatch,
 ):
     hashed: list[bytes] = []
--- a/tests/test_prefix_cache.py
+++ b/tests/test_prefix_cache.py
@@ -15,14 +15,14 @@
     return [PromptPart(part_id=name, tokens=tokens) for name in names]
 
 
-def test_leading_parts_count():
+def test_only_leading_cached_parts_count():
     cache = PrefixCache()
     cache.note(parts('a', 'b'))
     assert cache.cached_tokens(parts('a', 'b', 'c')) == 200
     assert cache.cached_tokens(parts('x', 'b')) == 0
 
 
-def test_least_used_gives_way():
+def test_least_recently_used_part_is_evicted():
     cache = PrefixCache(capacity=250)
     cache.note(parts('a'))
     cache.note(parts('b'))
@@ -33,13 +33,13 @@
     assert cache.tokens == 200
 
 
-def test_recent_parts_come_latest_last():
+def test_recent_parts_end_with_the_latest():
     cache = PrefixCache()
     cache.note(parts('a', 'b', 'c'))
     assert cache.recent_parts(2) == [('b', 100), ('c', 100)]
 
 
-def test_part_is_being_read_until_it_is_read():
+def test_part_is_pending_until_its_prefill_is_confirmed():
     cache = PrefixCache()
     cache.note(parts('a'))
     cache.note(parts('a', 'b'), ready_ms=500)
@@ -50,7 +50,7 @@
     assert cache.cached_tokens(parts('a', 'b')) == 200
 
 
-def test_part_of_a_prompt_that_failed_is_not_kept():
+def test_part_of_a_failed_prompt_is_not_cached():
     cache = PrefixCache()
     cache.note(parts('a'))
     cache.note(parts('a', 'b'), ready_ms=500)
@@ -59,7 +59,7 @@
     assert cache.tokens == 100
 
 
-def test_part_that_gave_way_is_not_waited_for():
+def test_evicted_part_is_not_pending():
     cache = PrefixCache(capacity=150)
     cache.note(parts('a'), ready_ms=500)
     cache.note(parts('b'))
@@ -74,7 +74,7 @@
 
 
 @given(steps=CACHE_STEPS)
-def test_index_names_the_engines_that_keep_a_part(
+def test_index_returns_the_engines_that_cache_a_part(
     steps: list[tuple[str, list[str]]],
 ):
     index = PartIndex()
@@ -99,7 +99,7 @@
         assert index.engines(part.part_id) == caching
 
 
-def test_engines_that_keep_the_most_of_a_prompt_are_named():
+def test_engines_with_the_longest_cached_prefix_are_returned():
     caches = PrefixCaches()
     for number in range(9):
         caches.find(f'i-{number}').note(parts('common'))
--- a/tests/test_rate_exchange.py
+++ b/tests/test_rate_exchange.py
@@ -67,13 +67,13 @@
     assert site.gateways[0].rate('e1') == pytest.approx(60)
 
 
-def test_one_gateway_tells_all_what_it_has_seen(site: Site):
+def test_samples_of_one_gateway_reach_all_gateways(site: Site):
     record_ten_prefills(site.gateways[:1], 'e1')
     run_ticks(site, TWO_SECONDS_TICKS)
     assert spread(site.gateways, 'e1') < MAX_SPREAD
 
 
-def test_gateway_that_starts_knows_what_its_zone_knows(site: Site):
+def test_new_gateway_gets_the_rates_of_its_zone(site: Site):
     known, *_others, new = site.gateways[:4]
     new.alive = False
     record_ten_prefills(site.gateways[:3], 'e1')
@@ -96,7 +96,7 @@
     assert not site.reading_bytes.total()
 
 
-def test_greeting_is_relayed_no_more_than_the_readings_that_come_with_it(
+def test_greeting_adds_nothing_to_the_relayed_samples(
     site: Site,
 ):
     relay = site.relay('a')
@@ -109,7 +109,7 @@
     assert site.reading_bytes[True] < SAMPLE_BYTES * 2
 
 
-def test_zones_cut_apart_learn_by_themselves(site: Site):
+def test_isolated_zones_estimate_rates_separately(site: Site):
     for each in site.gateways[:4]:
         site.cut_off(each)
     record_ten_prefills(site.gateways[:4], 'e1')
@@ -122,7 +122,7 @@
     assert site.gateways[-1].rate('e1') == pytest.approx(30)
 
 
-def test_lost_messages_are_made_up_for_by_the_next_readings(site: Site):
+def test_next_samples_compensate_for_lost_messages(site: Site):
     site.loss_ratio = 0.3
     for _second in range(3):
         record_ten_prefills(site.gateways, 'e1')
@@ -140,7 +140,7 @@
     assert spread(alive, 'e1') < MAX_SPREAD
 
 
-def test_bytes_of_readings_at_three_hundred_gateways_are_few():
+def test_sample_traffic_of_three_hundred_gateways_is_small():
     site = Site(dict.fromkeys('abcde', 60))
     site.tick(whole=True)
     site.reading_bytes.clear()
--- a/tests/test_rate_share.py
+++ b/tests/test_rate_share.py
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize('count', [1, 4, 30, 298, 620])
 @pytest.mark.parametrize('rate', RATES)
-def test_parts_add_up_to_the_limit(rate: float, count: int):
+def test_shares_add_up_to_the_limit(rate: float, count: int):
     assert sum(list_shares(rate, count)) == pytest.approx(rate)
 
 
@@ -49,7 +49,7 @@
     assert burst + 4 * rate <= max_requests(rate)
 
 
-def test_equal_parts_let_first_requests_pass_the_bound():
+def test_equal_shares_let_first_requests_exceed_the_bound():
     buckets = [
         TokenBucket(rate=share, now_ms=0)
         for share in list_shares(1, 298, share_equally)
@@ -58,7 +58,7 @@
     assert burst + 4 > max_requests(1)
 
 
-def test_gateway_that_comes_or_goes_moves_few_parts():
+def test_added_or_removed_gateway_changes_few_shares():
     names = [f'g{number}' for number in range(30)]
 
     def users(gateways: list[str]) -> set[str]:
@@ -78,7 +78,7 @@
         assert len(before - after) <= 1
 
 
-def test_endpoints_have_other_gateways():
+def test_limits_of_endpoints_are_used_by_different_gateways():
     names = [f'g{number}' for number in range(30)]
     using = {
         name
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize('rate', RATES)
-def test_pace_is_a_rate_and_not_a_burst(rate: float):
+def test_token_bucket_bounds_rate_and_burst(rate: float):
     bucket = TokenBucket(rate=rate, now_ms=0)
     # Burst after a minute without requests.
     sent = sum(bucket.take(60_000) for _call in range(1000))
@@ -103,7 +103,7 @@
     assert sent == pytest.approx(rate * 20, abs=1)
 
 
-def test_pace_starts_with_nothing_saved_up():
+def test_token_bucket_starts_empty():
     bucket = TokenBucket(rate=2, now_ms=0)
     assert not bucket.take(0)
     assert bucket.ready_in_ms(0) == 500
@@ -153,7 +153,7 @@
     assert simulation.max_window_arrivals() <= times * max_requests(rate)
 
 
-def test_calls_that_come_unevenly_use_a_limit():
+def test_uneven_calls_use_the_limit():
     # Five gateways with 8.5 calls per second for a limit of eight.
     simulation = RateSimulation(gateways=5, rate=8, seed=1, demand=1.7)
     simulation.run(10)
@@ -176,7 +176,7 @@
     assert simulation.max_window_arrivals() <= max_requests(rate)
 
 
-def test_gateways_come_back_one_after_the_other():
+def test_gateways_return_gradually_after_a_limit_ends():
     simulation = RateSimulation(gateways=12, rate=1, seed=3, demand=8)
     simulation.run(10)
     ended_ms = simulation.clock.now_ms()
--- a/tests/test_reading_window.py
+++ b/tests/test_reading_window.py
@@ -27,13 +27,13 @@
     return window
 
 
-def test_unseen_engine_has_no_rate():
+def test_engine_without_samples_has_no_rate():
     window = PrefillRateWindow()
     assert window.rate is None
     assert window.is_stale(0)
 
 
-def test_prompts_of_others_that_came_before_do_not_count():
+def test_low_samples_do_not_change_the_rate():
     samples = [FAST, SLOW, FAST * 0.9, SLOW, FAST, SLOW, FAST, SLOW]
     assert record(PrefillRateWindow(), *samples).rate == pytest.approx(
         FAST, rel=0.1
@@ -42,20 +42,20 @@
 
 @pytest.mark.parametrize('before', [2, 3, 5, 15, 40])
 @pytest.mark.parametrize('outlier', [OUTLIER, 2])
-def test_one_absurd_reading_changes_little(before: int, outlier: float):
+def test_one_outlier_does_not_change_the_rate(before: int, outlier: float):
     window = record(PrefillRateWindow(), *repeat(FAST, before))
     window.note(outlier, before * STEP_MS)
     assert window.rate == FAST
 
 
-def test_slow_spell_does_not_make_an_engine_slow():
+def test_slowdown_does_not_change_the_rate():
     window = record(PrefillRateWindow(), *repeat(FAST, 11), *repeat(SLOWDOWN, 5))
     # A high quantile of sixteen tolerates thirteen samples that are too low.
     assert window.rate == FAST
 
 
 @pytest.mark.parametrize(('before', 'after'), [(FAST, SLOW), (SLOW, FAST)])
-def test_engine_that_changed_is_followed_within_its_window(
+def test_rate_change_is_followed_within_the_window(
     before: float, after: float
 ):
     window = record(PrefillRateWindow(), *repeat(before, 30))
@@ -63,18 +63,18 @@
     assert window.rate == after
 
 
-def test_engine_that_turned_quick_is_known_after_three_readings():
+def test_rate_increase_is_followed_after_three_samples():
     window = record(PrefillRateWindow(), *repeat(SLOW, 30), *repeat(FAST, 3))
     assert window.rate == FAST
 
 
-def test_old_readings_go_once_there_are_newer_ones():
+def test_old_samples_are_dropped_for_newer_ones():
     window = record(PrefillRateWindow(), *repeat(FAST, 16))
     record(window, SLOW, SLOW, SLOW, from_ms=LATER_MS)
     assert window.rate == SLOW
 
 
-def test_old_readings_stay_while_there_are_no_newer_ones():
+def test_old_samples_stay_without_newer_ones():
     window = record(PrefillRateWindow(), *repeat(FAST, 16))
     record(window, SLOW, from_ms=LATER_MS)
     assert window.rate == FAST
@@ -82,7 +82,7 @@
     assert window.is_stale(2 * LATER_MS)
 
 
-def test_further_readings_are_needed_while_few_are_recent():
+def test_more_samples_are_needed_while_few_are_recent():
     window = record(PrefillRateWindow(), *repeat(FAST, 7))
     assert window.needs_more_samples(7 * STEP_MS)
     record(window, FAST, from_ms=7 * STEP_MS)
@@ -90,7 +90,7 @@
     assert window.needs_more_samples(LATER_MS)
 
 
-def test_belief_of_another_gateway_counts_only_without_a_reading():
+def test_peer_rate_is_used_only_without_samples():
     window = PrefillRateWindow()
     window.note_peer_rate(FAST, 0)
     assert window.rate == FAST
--- a/tests/test_request_blocks.py
+++ b/tests/test_request_blocks.py
@@ -55,7 +55,7 @@
     assert blocks.count == 1
 
 
-def test_requests_at_the_same_crashes_get_a_second(
+def test_tied_requests_are_sent_for_one_second(
     blocks: RequestBlocks, ledger: CrashLedger, clock: ManualClock
 ):
     other = b'was there too'
@@ -76,7 +76,7 @@
     assert blocks.find_block(other) is None
 
 
-def test_requests_that_nothing_tells_apart_are_refused_after_a_second(
+def test_tied_requests_are_refused_after_one_second(
     blocks: RequestBlocks, ledger: CrashLedger, clock: ManualClock
 ):
     for name in ('e1', 'e2', 'e3'):
@@ -123,7 +123,7 @@
     ledger.note_gateway_lost('g2')
 
 
-def test_crash_beside_a_lost_gateway_blames_nobody_before_a_good_answer(
+def test_incomplete_crash_does_not_block_popular_request(
     blocks: RequestBlocks, ledger: CrashLedger, clock: ManualClock
 ):
     record_incomplete_crash(ledger, clock)
@@ -135,7 +135,7 @@
     assert blocks.find_block(POPULAR) is None
 
 
-def test_cause_is_found_at_the_next_crash_after_one_beside_a_lost_gateway(
+def test_cause_is_found_after_an_incomplete_crash(
     blocks: RequestBlocks, ledger: CrashLedger, clock: ManualClock
 ):
     record_incomplete_crash(ledger, clock)
@@ -148,7 +148,7 @@
     assert blocks.find_block(POPULAR) is None
 
 
-def test_cause_is_refused_though_its_gateways_are_lost_again_and_again(
+def test_repeated_gateway_losses_do_not_postpone_refusal(
     blocks: RequestBlocks, ledger: CrashLedger, clock: ManualClock
 ):
     for name in ('e1', 'e2', 'e3'):
@@ -163,7 +163,7 @@
     assert blocks.find_block(REQUEST)
 
 
-def test_requests_at_the_same_crashes_are_refused_though_gateways_are_lost(
+def test_tied_requests_are_refused_despite_gateway_losses(
     blocks: RequestBlocks, ledger: CrashLedger, clock: ManualClock
 ):
     for name in ('e1', 'e2', 'e3'):
@@ -176,7 +176,7 @@
     assert blocks.find_block(REQUEST)
 
 
-def test_gateway_that_started_after_the_crashes_waits_for_a_good_answer(
+def test_gateway_started_after_crashes_delays_refusal(
     ledger: CrashLedger, clock: ManualClock
 ):
     # The gateway does not know which gateways were lost before its start.
@@ -197,7 +197,7 @@
     assert started.find_block(REQUEST)
 
 
-def test_request_is_tried_once_after_a_minute(
+def test_blocked_request_gets_one_trial_after_a_minute(
     blocks: RequestBlocks, ledger: CrashLedger, clock: ManualClock
 ):
     record_crashes(ledger, clock, 'e1', 'e2', 'e3')
@@ -208,7 +208,7 @@
     assert blocks.find_block(REQUEST)
 
 
-def test_requests_beyond_the_bound_are_two_in_all(
+def test_blocked_request_gets_two_trials_at_most(
     blocks: RequestBlocks, ledger: CrashLedger, clock: ManualClock
 ):
     record_crashes(ledger, clock, 'e1', 'e2', 'e3')
@@ -222,7 +222,7 @@
     assert trials == 2
 
 
-def test_request_that_was_served_in_its_try_is_free_again(
+def test_request_served_in_its_trial_is_unblocked(
     blocks: RequestBlocks, ledger: CrashLedger, clock: ManualClock
 ):
     record_crashes(ledger, clock, 'e1', 'e2', 'e3')
@@ -233,7 +233,7 @@
     assert blocks.count == 0
 
 
-def test_one_gateway_tries_of_all_that_hear_each_other(
+def test_only_one_connected_gateway_makes_the_trial(
     ledger: CrashLedger, clock: ManualClock
 ):
     names = [f'g{number}' for number in range(5)]
--- a/tests/test_sending_gate.py
+++ b/tests/test_sending_gate.py
@@ -52,11 +52,11 @@
     created.close()
 
 
-def test_endpoint_that_said_nothing_takes_all(gate: SendingGate):
+def test_endpoint_without_signals_takes_all_requests(gate: SendingGate):
     assert not any(gate.acquire(ENDPOINT) for _call in range(9))
 
 
-def test_limit_of_zero_still_lets_one_ask_now_and_then(
+def test_limit_of_zero_allows_occasional_requests(
     gate: SendingGate, signals: EndpointSignals, clock: ManualClock
 ):
     signals.note_answer(ENDPOINT, AnswerSignals(rate=0), 900)
@@ -67,7 +67,7 @@
     assert 5 <= sent <= 10
 
 
-def test_question_of_our_own_counts_and_is_heard(site: GatewaySite):
+def test_own_query_counts_and_its_signals_are_applied(site: GatewaySite):
     engine = site.add_server(ENDPOINT, 'engines')
     engine.signals.limit = '0.5'
     gateway = site.add_gateway()
@@ -78,7 +78,7 @@
     assert caller.receive().status == 503
 
 
-def test_part_of_a_silent_gateway_is_not_used_at_once(
+def test_share_of_a_silent_gateway_is_reassigned_after_a_delay(
     gate: SendingGate, signals: EndpointSignals, clock: ManualClock
 ):
     gate.note_gateways(connected=['g2', 'g3'], stopping=[], gateway_count=3)
@@ -95,7 +95,7 @@
     assert gate.gateways == {'g1'}
 
 
-def test_connection_to_an_endpoint_without_room_is_not_given(
+def test_no_connection_to_an_endpoint_at_its_limit(
     gate: SendingGate, signals: EndpointSignals, clock: ManualClock
 ):
     signals.note_answer(ENDPOINT, AnswerSignals(rate=1), 900)
@@ -113,7 +113,7 @@
         connections.acquire(endpoint, timeout_ms=100, allow_reuse=False)
 
 
-def test_pool_with_a_limit_refuses_at_once_and_says_when(site: GatewaySite):
+def test_limited_pool_refuses_at_once_with_retry_after(site: GatewaySite):
     engine = site.add_server(ENDPOINT, 'engines')
     gateway = site.add_gateway()
     wait_until(lambda: engine.signals.arrivals)
@@ -145,7 +145,7 @@
     assert limited['told_by'] == gateway.status()['name']
 
 
-def test_rest_is_kept_and_returned_from_step_by_step(
+def test_rest_is_respected_and_followed_by_a_ramp_up(
     gate: SendingGate, signals: EndpointSignals, clock: ManualClock
 ):
     signals.note_answer(ENDPOINT, AnswerSignals(rest_ms=2500), 900)
@@ -161,7 +161,7 @@
     assert len(sent_ms) > 1000
 
 
-def test_gateways_return_at_moments_of_their_own(clock: ManualClock):
+def test_gateways_return_at_different_times(clock: ManualClock):
     ready_times_ms = set()
     for number in range(20):
         name = f'g{number}'
@@ -175,7 +175,7 @@
     assert max(ready_times_ms) - min(ready_times_ms) > 100
 
 
-def test_rest_of_a_year_is_a_year(
+def test_rest_of_a_year_is_respected(
     gate: SendingGate, signals: EndpointSignals, clock: ManualClock
 ):
     year_ms = 365 * 86_400_000
@@ -187,7 +187,7 @@
     assert gate.acquire(ENDPOINT) is None
 
 
-def test_whole_pool_at_rest_is_told_at_once(site: GatewaySite):
+def test_resting_pool_refuses_at_once(site: GatewaySite):
     servers = [site.add_server(f'plain-{number}') for number in range(3)]
     gateway = site.add_gateway()
     for server, rest in zip(servers, ('5', '2.5', '4'), strict=True):
@@ -206,7 +206,7 @@
     assert 2 <= float(last.headers['retry-after']) <= 4
 
 
-def test_503_without_a_time_stays_as_it_was(site: GatewaySite):
+def test_503_without_retry_after_is_retried(site: GatewaySite):
     server = site.add_server('plain-1')
     server.faults = ['shed']
     gateway = site.add_gateway()
@@ -216,7 +216,7 @@
     assert len(server.signals.arrivals) == 2
 
 
-def test_leaving_endpoint_is_left_alone_whatever_the_store_says(
+def test_leaving_endpoint_gets_no_requests_even_if_listed_again(
     site: GatewaySite,
 ):
     leaving, staying = (
@@ -241,7 +241,7 @@
     assert len(staying.signals.arrivals) == 11
 
 
-def test_pool_that_is_leaving_as_a_whole_refuses(site: GatewaySite):
+def test_pool_of_only_leaving_endpoints_refuses(site: GatewaySite):
     leaving = site.add_server('plain-0')
     leaving.signals.leaving = True
     gateway = site.add_gateway()
@@ -258,7 +258,7 @@
     assert caller.receive().status == 200
 
 
-def test_leaving_is_heard_in_an_answer_that_turns_away(site: GatewaySite):
+def test_leaving_signal_of_a_503_answer_is_applied(site: GatewaySite):
     leaving = site.add_server('plain-0')
     leaving.signals.leaving = True
     leaving.faults = ['shed']
--- a/tests/test_shared_rates.py
+++ b/tests/test_shared_rates.py
@@ -44,7 +44,7 @@
     assert rate_of(rates, 'slow') == 20
 
 
-def test_unseen_engine_has_the_median_of_its_pool(rates: SharedRates):
+def test_engine_without_samples_has_the_median_of_its_pool(rates: SharedRates):
     assert rate_of(rates, 'new') == INITIAL_TOKENS_PER_MS
     for engine, elapsed_ms in (('a', 100), ('b', 120), ('c', 300)):
         rates.note(engine, POOL, LONG_TOKENS, elapsed_ms)
@@ -53,7 +53,7 @@
     assert rates.find('other', 'other pool').tokens_per_ms == INITIAL_TOKENS_PER_MS
 
 
-def test_what_waited_does_not_count_since_part_of_it_was_read(
+def test_pending_tokens_are_excluded_from_samples(
     rates: SharedRates,
 ):
     speeds = EngineSpeeds(rates=rates)
@@ -70,7 +70,7 @@
     assert not rates.find('f', POOL).window.rate
 
 
-def test_prompt_behind_much_else_tells_only_that_an_engine_is_faster(
+def test_sample_behind_many_tokens_only_raises_the_rate(
     rates: SharedRates,
 ):
     rates.note('e', POOL, LONG_TOKENS, SLOW_MS)
@@ -83,7 +83,7 @@
     assert rate_of(rates, 'e') == 60
 
 
-def test_gateway_that_learns_alone_passes_over_prompts_behind_much_else():
+def test_own_rates_ignore_prompts_behind_many_tokens():
     rates = OwnRates()
     rates.note('e', POOL, 3 * LONG_TOKENS, FAST_MS, waiting=2 * LONG_TOKENS)
     assert rate_of(rates, 'e') == INITIAL_TOKENS_PER_MS
@@ -91,20 +91,20 @@
     assert rate_of(rates, 'e') > INITIAL_TOKENS_PER_MS
 
 
-def test_short_reads_and_reads_without_time_do_not_count(rates: SharedRates):
+def test_short_or_instant_prefills_are_ignored(rates: SharedRates):
     rates.note('e', POOL, SHORT_TOKENS, 1)
     rates.note('e', POOL, LONG_TOKENS, 0)
     assert rate_of(rates, 'e') == INITIAL_TOKENS_PER_MS
     assert not rates.take_unreported()
 
 
-def test_absurd_readings_are_bounded(rates: SharedRates):
+def test_extreme_samples_are_bounded(rates: SharedRates):
     rates.note('e', POOL, LONG_TOKENS, 0.1)
     rates.merge_reported('e', POOL, [10**9])
     assert rate_of(rates, 'e') == MAX_TOKENS_PER_MS
 
 
-def test_told_readings_count_like_own_ones(
+def test_reported_samples_count_like_own_samples(
     rates: SharedRates, manual_clock: ManualClock
 ):
     other = SharedRates(clock=manual_clock)
@@ -117,7 +117,7 @@
     assert not other.take_unreported()
 
 
-def test_few_readings_are_told_at_once(rates: SharedRates):
+def test_number_of_reported_samples_is_limited(rates: SharedRates):
     for _sample in range(30):
         rates.note('e', POOL, LONG_TOKENS, FAST_MS)
     ((_engine, *reported),) = rates.take_unreported()
@@ -126,7 +126,7 @@
     assert not rates.take_unreported()
 
 
-def test_gateway_that_starts_believes_what_it_is_told(
+def test_started_gateway_uses_estimated_rates_of_peers(
     rates: SharedRates, manual_clock: ManualClock
 ):
     new = SharedRates(clock=manual_clock)
@@ -142,7 +142,7 @@
     assert rate_of(new, 'e') == 20
 
 
-def test_belief_does_not_push_out_readings(
+def test_estimated_rates_of_peers_do_not_replace_samples(
     rates: SharedRates, manual_clock: ManualClock
 ):
     other = SharedRates(clock=manual_clock)
@@ -154,7 +154,7 @@
     assert rate_of(rates, 'e') == 60
 
 
-def test_greeting_before_the_list_of_engines_is_kept(rates: SharedRates):
+def test_rates_received_before_the_engine_list_are_retained(rates: SharedRates):
     speeds = EngineSpeeds(rates=rates)
     rate_before_listing = speeds.find('e', '').rate
     rates.merge_reported('e', '', [-600])
@@ -164,7 +164,7 @@
     assert speeds.pool_rate(POOL).tokens_per_ms == 60
 
 
-def test_what_peers_tell_of_an_engine_is_kept_until_it_is_listed(
+def test_reported_samples_are_retained_until_the_engine_is_listed(
     rates: SharedRates, manual_clock: ManualClock
 ):
     knowledge = EndpointKnowledge(clock=manual_clock, rates=rates)
@@ -175,7 +175,7 @@
     assert rate_of(rates, 'f') == 20
 
 
-def test_engine_known_before_it_is_listed_follows_its_readings(
+def test_engine_known_before_it_is_listed_is_updated_by_samples(
     rates: SharedRates,
 ):
     speeds = EngineSpeeds(rates=rates)
@@ -184,7 +184,7 @@
     assert rate_before_listing.rate.tokens_per_ms == 60
 
 
-def test_engine_that_left_is_forgotten_after_a_while(
+def test_unlisted_engine_is_removed_after_its_samples_expire(
     rates: SharedRates, manual_clock: ManualClock
 ):
     rates.note('gone', POOL, LONG_TOKENS, FAST_MS)
@@ -196,7 +196,7 @@
     assert not rates.encode_all()
 
 
-def test_engine_that_starts_again_is_another_engine(rates: SharedRates):
+def test_restarted_engine_counts_as_a_new_engine(rates: SharedRates):
     rates.note('i-1@1', POOL, LONG_TOKENS, SLOW_MS)
     rates.note('i-2@1', POOL, LONG_TOKENS, FAST_MS)
     rates.note('i-3@1', POOL, LONG_TOKENS, FAST_MS)
@@ -204,7 +204,7 @@
     assert rate_of(rates, 'i-1@2') == 60
 
 
-def test_fixed_time_is_that_of_short_reads(rates: SharedRates):
+def test_fixed_overhead_is_measured_by_short_prefills(rates: SharedRates):
     speeds = EngineSpeeds(rates=rates)
     assert rates.fixed_overhead_ms(POOL) is None
     rates.note('e', POOL, LONG_TOKENS, FAST_MS)
@@ -215,7 +215,7 @@
     assert rates.fixed_overhead_ms('other pool') is None
 
 
-def test_fixed_time_is_no_part_of_a_reading(rates: SharedRates):
+def test_fixed_overhead_is_excluded_from_samples(rates: SharedRates):
     speeds = EngineSpeeds(rates=rates)
     for _sample in range(4):
         speeds.note_start('e', POOL, 0, 50)
@@ -223,7 +223,7 @@
     assert rate_of(rates, 'e') == 60
 
 
-def test_prompt_that_was_cached_after_all_is_no_reading(rates: SharedRates):
+def test_unexpectedly_cached_prompt_is_no_sample(rates: SharedRates):
     speeds = EngineSpeeds(rates=rates)
     for _sample in range(4):
         speeds.note_start('e', POOL, 0, 50)
@@ -231,7 +231,7 @@
     assert rate_of(rates, 'e') == INITIAL_TOKENS_PER_MS
 
 
-def test_gateways_that_learn_alone_tell_and_take_nothing():
+def test_own_rates_are_neither_reported_nor_merged():
     rates = OwnRates()
     rates.note('e', POOL, LONG_TOKENS, FAST_MS)
     before = rates.find('e', POOL).tokens_per_ms
@@ -243,7 +243,7 @@
     assert not rates.encode_all()
 
 
-def test_look_at_a_rate_changes_nothing(manual_clock: ManualClock):
+def test_look_creates_no_entry(manual_clock: ManualClock):
     for rates in (OwnRates(), SharedRates(clock=manual_clock)):
         assert rates.look('new', POOL).tokens_per_ms == INITIAL_TOKENS_PER_MS
         rates.note('e', POOL, LONG_TOKENS, FAST_MS)
--- a/tests/test_shared_rates_site.py
+++ b/tests/test_shared_rates_site.py
@@ -27,7 +27,7 @@
     return rates[0] > 0 and rates[1] / rates[0] - 1 < MAX_DIFFERENCE
 
 
-def test_gateways_share_what_one_of_them_sees(gateway_site: GatewaySite):
+def test_gateways_share_samples_of_one_gateway(gateway_site: GatewaySite):
     gateway_site.add_server('e1', 'engines').delay_ms = PREFILL_MS
     one = gateway_site.add_gateway(policy=SHARED)
     other = gateway_site.add_gateway(policy=SHARED)
@@ -41,7 +41,7 @@
     wait_until(lambda: agree(one, new))
 
 
-def test_errors_of_estimates_are_shown(gateway_site: GatewaySite):
+def test_start_errors_are_in_status_and_metrics(gateway_site: GatewaySite):
     gateway_site.add_server('e1', 'engines').delay_ms = PREFILL_MS
     gateway = gateway_site.add_gateway(policy=SHARED)
     gateway_site.ask('/stream/x', X_Token_Count=f'{TOKENS},5')
--- a/tests/test_shared_read.py
+++ b/tests/test_shared_read.py
@@ -26,7 +26,7 @@
         (0, 0, 0),
     ],
 )
-def test_wait_is_for_long_parts_that_are_soon_read(
+def test_prompt_waits_for_long_parts_that_are_soon_prefilled(
     tokens: int,
     ready_in_ms: int,
     wait_ms: int,
@@ -36,7 +36,7 @@
     assert send_at_once(pending, LEFT_MS) == 0
 
 
-def test_second_prompt_is_sent_once_the_first_has_begun(
+def test_second_prompt_is_sent_after_first_event_of_first(
     gateway_site: GatewaySite,
 ):
     engine = gateway_site.add_server('e1', 'engines')
@@ -55,7 +55,7 @@
     assert callers[1].receive().whole
 
 
-def test_second_prompt_does_not_wait_for_one_that_failed(
+def test_second_prompt_does_not_wait_for_failed_prompt(
     gateway_site: GatewaySite,
 ):
     engine = gateway_site.add_server('e1', 'engines')
--- a/tests/test_signal_exchange.py
+++ b/tests/test_signal_exchange.py
@@ -45,7 +45,7 @@
     )
 
 
-def test_peer_that_never_asked_the_endpoint_hears_of_it(clock: ManualClock):
+def test_peer_that_never_called_the_endpoint_receives_its_signals(clock: ManualClock):
     sender, own_signals = make_exchange('g1', clock)
     receiver, peer_signals = make_exchange('g2', clock)
     own_signals.note_answer('e1', AnswerSignals(rate=2, leaving=True), 99_990)
@@ -60,7 +60,7 @@
     assert not receiver.encode_all().is_empty
 
 
-def test_end_of_a_limit_is_told(clock: ManualClock):
+def test_end_of_a_limit_is_reported(clock: ManualClock):
     sender, own_signals = make_exchange('g1', clock)
     receiver, peer_signals = make_exchange('g2', clock)
     own_signals.note_answer('e1', AnswerSignals(rate=2), 99_990)
@@ -72,7 +72,7 @@
     assert receiver.recent_digest == sender.recent_digest
 
 
-def test_old_news_bring_no_limit_back(clock: ManualClock):
+def test_stale_updates_do_not_restore_a_limit(clock: ManualClock):
     sender, own_signals = make_exchange('g1', clock)
     receiver, peer_signals = make_exchange('g2', clock)
     stale, _known = make_exchange('g3', clock)
@@ -86,7 +86,7 @@
     assert receiver.recent_digest == sender.recent_digest
 
 
-def test_peer_that_missed_news_is_told_again(clock: ManualClock):
+def test_missed_signals_are_resent(clock: ManualClock):
     sender, own_signals = make_exchange('g1', clock)
     receiver, peer_signals = make_exchange('g2', clock)
     own_signals.note_answer('e1', AnswerSignals(rate=2), 99_990)
@@ -102,7 +102,7 @@
     assert sender.answer_digest(peer, -1, 1).is_empty
 
 
-def test_last_version_and_this_one_read_each_other(clock: ManualClock):
+def test_older_and_newer_versions_decode_each_other(clock: ManualClock):
     sender, own_signals = make_exchange('g1', clock)
     own_signals.note_answer('e1', AnswerSignals(rate=2), 99_990)
     sent = heartbeat(sender.take_unreported(), sender.recent_digest)
@@ -119,7 +119,7 @@
     # About 40 bytes for each limit; the digest takes 9 in any heartbeat.
     [(0, 12), (1, 60), (75, 4000), (300, 16_000)],
 )
-def test_news_in_a_heartbeat_are_short(
+def test_updates_in_a_heartbeat_are_compact(
     clock: ManualClock, limits: int, max_bytes: int
 ):
     sender, own_signals = make_exchange('front-osl-a-1', clock)
--- a/tests/test_sized_rates.py
+++ b/tests/test_sized_rates.py
@@ -53,7 +53,7 @@
     ('count', 'rate'),
     [(LARGE_POOL - 1, INITIAL_TOKENS_PER_MS), (LARGE_POOL, REPORTED_RATE)],
 )
-def test_readings_of_others_count_in_large_pools_alone(
+def test_reported_samples_count_only_in_large_pools(
     knowledge: EndpointKnowledge, count: int, rate: float
 ):
     list_engines(knowledge, count)
@@ -61,7 +61,7 @@
     assert knowledge.speed('i-0').rate.tokens_per_ms == rate
 
 
-def test_pool_that_grows_counts_as_large_soon(
+def test_growing_pool_soon_uses_shared_rates(
     knowledge: EndpointKnowledge, clock: ManualClock
 ):
     list_engines(knowledge, LARGE_POOL - 1)
@@ -83,7 +83,7 @@
     assert knowledge.expected_start_ms(POOL, 0, 100) > 100
 
 
-def test_engine_that_was_heard_of_before_it_was_listed_joins_its_pool(
+def test_engine_known_before_it_is_listed_joins_its_pool(
     knowledge: EndpointKnowledge, clock: ManualClock
 ):
     speed = knowledge.speed('i-0')
@@ -99,7 +99,7 @@
     [({}, False), ({POOL: 300}, False), ({POOL: 250}, True)],
     ids=['none', 'long gaps', 'short gaps'],
 )
-def test_pool_without_short_gaps_is_judged_as_before(
+def test_pool_without_short_gaps_uses_own_rates(
     clock: ManualClock, asked_ms: dict[str, int], *, together: bool
 ):
     knowledge = EndpointKnowledge(
--- a/tests/test_start_estimates.py
+++ b/tests/test_start_estimates.py
@@ -29,7 +29,7 @@
         starts.note(POOL, tier, estimate_ms, actual_ms)
 
 
-def test_plain_estimates_stay_as_they_are():
+def test_plain_estimates_are_not_corrected():
     starts = StartEstimates()
     note_all(starts, 0, *repeat((100, 300), 20))
     assert starts.expected_ms(POOL, 0, 100) == 100
@@ -37,12 +37,12 @@
     assert (error.median, error.worst_tenth) == (3, 3)
 
 
-def test_fixed_time_is_part_of_an_estimate(starts: CorrectedEstimates):
+def test_estimate_includes_fixed_overhead(starts: CorrectedEstimates):
     assert starts.expected_ms(POOL, 0, 100) == 150
     assert starts.expected_ms('other pool', 0, 100) == 140
 
 
-def test_estimates_follow_what_came_by_tier(starts: CorrectedEstimates):
+def test_estimates_are_corrected_by_tier(starts: CorrectedEstimates):
     note_all(starts, 0, *repeat((150, 100), 4))
     note_all(starts, 3, *repeat((150, 300), 4))
     assert starts.expected_ms(POOL, 0, 350) == pytest.approx(200)
@@ -50,12 +50,12 @@
     assert starts.expected_ms(POOL, 1, 350) == 400
 
 
-def test_few_first_events_correct_nothing(starts: CorrectedEstimates):
+def test_correction_needs_enough_first_events(starts: CorrectedEstimates):
     note_all(starts, 0, *repeat((150, 400), 3))
     assert starts.expected_ms(POOL, 0, 150) == 200
 
 
-def test_one_absurd_first_event_corrects_nothing(starts: CorrectedEstimates):
+def test_one_outlier_does_not_change_the_correction(starts: CorrectedEstimates):
     note_all(starts, 0, *repeat((150, 200), 6), (150, 20_000))
     assert starts.expected_ms(POOL, 0, 150) == 200
 
@@ -68,7 +68,7 @@
     assert starts.expected_ms(POOL, 0, 150) == pytest.approx(200 * factor)
 
 
-def test_failure_is_forgotten_with_later_first_events(
+def test_correction_recovers_after_a_failure(
     starts: CorrectedEstimates,
 ):
     note_all(starts, 0, *repeat((150, 20_000), 32))
@@ -76,7 +76,7 @@
     assert starts.expected_ms(POOL, 0, 150) == pytest.approx(200)
 
 
-def test_error_is_that_of_the_corrected_estimate(starts: CorrectedEstimates):
+def test_error_is_relative_to_the_corrected_estimate(starts: CorrectedEstimates):
     note_all(starts, 0, *repeat((150, 400), 4))
     assert starts.errors[POOL, 0].median == 2
     note_all(starts, 0, *repeat((150, 400), 28))
--- a/tests/test_start_figures.py
+++ b/tests/test_start_figures.py
@@ -18,14 +18,14 @@
     return starts
 
 
-def test_errors_are_listed_by_pool_and_tier():
+def test_start_errors_are_listed_by_pool_and_tier():
     assert list_start_errors(make_estimates()) == [
         {'pool': 'engines', 'tier': 2, 'median': 1, 'worst_tenth': 2.5}
     ]
     assert not list_start_errors(StartEstimates())
 
 
-def test_errors_are_a_metric():
+def test_start_errors_are_a_metric():
     metrics = Metrics()
     set_start_errors(metrics, make_estimates())
     rendered = metrics.render().decode()
--- a/tests/test_stream_continuation.py
+++ b/tests/test_stream_continuation.py
@@ -51,7 +51,7 @@
     return first, other
 
 
-def test_second_engine_is_named_to_keep_a_copy(backup_site: GatewaySite):
+def test_second_engine_is_assigned_as_backup(backup_site: GatewaySite):
     assert ask(backup_site).whole
     first, other = sort_engines(backup_site)
     (run,) = first.runs
@@ -69,7 +69,7 @@
         ),
     ],
 )
-def test_other_streams_have_no_copy(
+def test_resumable_or_short_streams_have_no_backup(
     backup_site: GatewaySite,
     target: str,
     changes: dict[str, str],
@@ -79,7 +79,7 @@
     assert 'x-kv-backup' not in run.headers
 
 
-def test_engines_that_keep_no_copies_are_not_asked_to(
+def test_engines_without_backups_get_no_backup_header(
     gateway_site: GatewaySite,
 ):
     for name in ('one', 'two'):
@@ -90,7 +90,7 @@
     assert 'x-kv-backup' not in run.headers
 
 
-def test_same_run_goes_on_where_its_copy_is(backup_site: GatewaySite):
+def test_run_continues_at_its_backup_after_a_crash(backup_site: GatewaySite):
     inject_faults(backup_site, 'crash')
     answer = ask(backup_site)
     assert answer.whole
@@ -102,7 +102,7 @@
     assert answer.headers['x-response-seal'] == f'seal.{first.name}'
 
 
-def test_run_does_not_go_on_while_its_engine_lives(backup_site: GatewaySite):
+def test_run_is_not_continued_while_its_engine_is_up(backup_site: GatewaySite):
     inject_faults(backup_site, 'cut')
     answer = ask(backup_site)
     assert not answer.whole
@@ -111,7 +111,7 @@
     assert not other.runs
 
 
-def test_stream_is_cut_if_there_is_no_copy_after_all(backup_site: GatewaySite):
+def test_stream_is_cut_if_the_backup_rejects_the_run(backup_site: GatewaySite):
     inject_faults(backup_site, 'crash', 'shed')
     answer = ask(backup_site)
     assert not answer.whole
@@ -119,7 +119,7 @@
     assert sort_engines(backup_site)[1].turned_away == 1
 
 
-def test_run_begins_nowhere_anew_if_its_copy_cannot_be_reached(
+def test_run_is_not_restarted_if_its_backup_is_unreachable(
     backup_site: GatewaySite,
 ):
     backup_site.add_server('three', 'engines').events = 6
@@ -141,7 +141,7 @@
     assert sum(len(each.runs) for each in backup_site.servers.values()) == 1
 
 
-def test_second_engine_that_breaks_too_ends_the_stream(
+def test_stream_is_cut_if_the_backup_fails_too(
     backup_site: GatewaySite,
 ):
     inject_faults(backup_site, 'crash', 'cut')
@@ -150,7 +150,7 @@
     assert len(sort_engines(backup_site)[1].runs) == 1
 
 
-def test_run_does_not_go_on_at_an_engine_that_left(backup_site: GatewaySite):
+def test_run_is_not_continued_at_a_delisted_backup(backup_site: GatewaySite):
     inject_faults(backup_site, 'crash')
     for server in backup_site.servers.values():
         server.event_ms = 300
@@ -165,7 +165,7 @@
     assert not other.runs
 
 
-def test_only_long_answers_that_cannot_be_resumed_have_a_copy():
+def test_only_long_answers_that_cannot_be_resumed_are_backed_up():
     long_answer = RunLength(prompt_tokens=600, output_tokens=300)
     short_answer = RunLength(prompt_tokens=600, output_tokens=299)
     assert back_up_long_answers(long_answer, resumable=False)
--- a/tests/test_token_gap_watch.py
+++ b/tests/test_token_gap_watch.py
@@ -20,7 +20,7 @@
     return TokenGapWatch(clock=clock, **args)
 
 
-def test_longest_pause_is_kept_with_what_was_read_beside_it(
+def test_longest_gap_is_recorded_with_pending_prefill_tokens(
     clock: ManualClock,
 ):
     load = LoadTable()
@@ -39,7 +39,7 @@
     assert watch.longest_gap_prefill_tokens == 9000
 
 
-def test_read_that_ended_in_the_pause_counts(clock: ManualClock):
+def test_prefill_that_ended_during_the_gap_counts(clock: ManualClock):
     load = LoadTable()
     watch = make_watch(load, clock)
     entry = load.start('e1', EndpointLoad(running=1, prefill_tokens=5000))
@@ -50,7 +50,7 @@
     assert watch.longest_gap_prefill_tokens == 5000
 
 
-def test_speed_learns_pauses_without_reads_at_once(clock: ManualClock):
+def test_gaps_without_prefill_update_speed_at_once(clock: ManualClock):
     speed = EngineSpeed()
     watch = make_watch(LoadTable(), clock, speed=speed)
     for _event in range(300):
@@ -59,7 +59,7 @@
     assert speed.idle_gap_ms == pytest.approx(20, abs=1)
 
 
-def test_speed_learns_the_longest_pause_at_the_end(clock: ManualClock):
+def test_longest_gap_updates_speed_at_end_of_stream(clock: ManualClock):
     load = LoadTable()
     speed = EngineSpeed(tokens_per_ms=40)
     watch = make_watch(load, clock, speed=speed)
--- a/tests/test_true_time.py
+++ b/tests/test_true_time.py
@@ -28,7 +28,7 @@
         clock.advance(ms)
 
 
-def test_alone_it_is_the_own_time_of_day(
+def test_without_peers_the_own_time_of_day_is_used(
     clock: ManualClock, wall: ManualClock, true_time: TrueTime
 ):
     advance_all(5000, clock, wall)
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize('jump_ms', [2000, -2000, 101])
-def test_jump_is_not_followed(
+def test_jump_of_the_wall_clock_is_ignored(
     clock: ManualClock, wall: ManualClock, true_time: TrueTime, jump_ms: int
 ):
     advance_all(1000, clock, wall)
@@ -50,7 +50,7 @@
     assert true_time.poll_wall() == 0
 
 
-def test_drift_is_followed(
+def test_drift_of_the_wall_clock_is_followed(
     clock: ManualClock, wall: ManualClock, true_time: TrueTime
 ):
     for _second in range(100):
@@ -60,7 +60,7 @@
     assert true_time.now_ms() == START_MS + 100_200
 
 
-def test_one_that_starts_while_it_is_wrong_is_outvoted(
+def test_gateway_started_with_wrong_time_uses_the_median(
     clock: ManualClock, wall: ManualClock
 ):
     wrong = ManualClock(start_ms=START_MS + 2000)
--- a/tests/test_usage_counts.py
+++ b/tests/test_usage_counts.py
@@ -62,7 +62,7 @@
     return PeerSession(hello=hello, connection=FakeConnection())
 
 
-def test_requests_count_in_the_window_in_which_they_began(
+def test_requests_count_in_the_window_of_their_start(
     clock: ManualClock, counts: UsageCounts
 ):
     counts.note('oslo', clock.now_ms())
@@ -72,7 +72,7 @@
     assert counts.window_totals(WINDOW - 1) == {'oslo': 1}
 
 
-def test_counts_that_are_told_twice_or_late_do_no_harm(counts: UsageCounts):
+def test_duplicate_and_late_reports_change_no_count(counts: UsageCounts):
     counts.note('oslo', WINDOW * WINDOW_MS)
     counts.merge_reported('b/1', [(WINDOW, 'oslo', 7)])
     counts.merge_reported('b/1', [(WINDOW, 'oslo', 5)])
@@ -82,7 +82,7 @@
     assert counts.window_totals(WINDOW) == {'oslo': 10}
 
 
-def test_only_what_has_risen_is_told(counts: UsageCounts):
+def test_only_changed_counts_are_returned(counts: UsageCounts):
     counts.note('oslo', WINDOW * WINDOW_MS)
     counts.note('bergen', WINDOW * WINDOW_MS)
     reported = counts.revision
@@ -91,7 +91,7 @@
     assert len(counts.changes_since(0)) == 2
 
 
-def test_old_windows_are_forgotten(clock: ManualClock, counts: UsageCounts):
+def test_old_windows_are_removed(clock: ManualClock, counts: UsageCounts):
     counts.note('oslo', clock.now_ms())
     counts.merge_reported('b/1', [(WINDOW, 'oslo', 7)])
     clock.advance(WINDOW_MS * 7)
@@ -100,7 +100,7 @@
     assert not counts.changes_since(0)
 
 
-def test_wrong_time_of_a_peer_keeps_no_window_from_being_reported(
+def test_peer_with_wrong_time_suppresses_no_report(
     counts: UsageCounts,
 ):
     counts.note_delivered(WINDOW + 3)
@@ -108,7 +108,7 @@
     assert counts.next_window == WINDOW
 
 
-def test_gateway_that_starts_tells_of_no_window_that_it_does_not_know(
+def test_starting_gateway_reports_no_unknown_delivered_window(
     counts: UsageCounts, exchange: DutyExchange
 ):
     # Otherwise the holder would assume that pending windows are reported.
@@ -119,7 +119,7 @@
     assert counts.next_window == WINDOW - 3
 
 
-def test_few_hear_counts_and_a_new_session_hears_all(
+def test_few_peers_receive_changes_and_a_new_session_receives_all(
     clock: ManualClock, counts: UsageCounts, exchange: DutyExchange
 ):
     sessions = [session(f'peer-{number}') for number in range(8)]
@@ -142,7 +142,7 @@
     assert field[3] == [(WINDOW, 'oslo', 2)]
 
 
-def test_holder_hears_counts_wherever_it_stands(
+def test_lease_holder_always_receives_counts(
     clock: ManualClock, counts: UsageCounts, exchange: DutyExchange
 ):
     sessions = [session(f'peer-{number}') for number in range(8)]
@@ -157,7 +157,7 @@
     assert len(receivers) == 4
 
 
-def test_counts_of_a_peer_are_taken_with_its_time(
+def test_counts_of_a_peer_are_merged_with_its_time(
     clock: ManualClock,
     true_time: TrueTime,
     counts: UsageCounts,
--- a/tests/test_watch_duty.py
+++ b/tests/test_watch_duty.py
@@ -44,12 +44,12 @@
     assert watchers(peers, make_duties(), 0) == list(range(WATCHER_COUNT))
 
 
-def test_few_gateways_step_in_at_once_for_those_that_are_lost():
+def test_next_gateways_watch_at_once_when_watchers_are_lost():
     peers = make_peers(watching=1, lost=2)
     assert watchers(peers, make_duties(), 0) == list(range(2 * WATCHER_COUNT))
 
 
-def test_twice_as_many_step_in_with_each_wave():
+def test_each_wave_doubles_the_watchers():
     peers = make_peers(watching=0)
     duties = make_duties()
     assert len(watchers(peers, duties, 0)) == 2 * WATCHER_COUNT
@@ -58,12 +58,12 @@
     assert len(watchers(peers, duties, 1500)) == GATEWAYS
 
 
-def test_waves_begin_anew_once_there_were_enough():
+def test_waves_restart_after_enough_watchers():
     duties = make_duties()
     assert len(watchers(make_peers(watching=0), duties, 0)) == 2 * WATCHER_COUNT
     assert len(watchers(make_peers(watching=WATCHER_COUNT), duties, 900)) == WATCHER_COUNT
     assert len(watchers(make_peers(watching=0), duties, 1000)) == 2 * WATCHER_COUNT
 
 
-def test_gateway_that_hears_no_peer_watches():
+def test_gateway_without_peers_watches():
     assert WatchDuty().should_watch([], 0)
