--- a/wingfall/gateway/rules/placement/pool_groups.py
+++ b/wingfall/gateway/rules/placement/pool_groups.py
@@ -10,7 +10,7 @@
 from wingfall.gateway.rules.placement.engine_groups import PoolState
 from wingfall.gateway.rules.placement.gap_group import GapGroup
 from wingfall.gateway.rules.placement.pool_snapshot import PoolSnapshot
-from wingfall.gateway.rules.placement.prompt_kinds import PromptLengths
+from wingfall.gateway.rules.placement.prompt_lengths import PromptLengths
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
