--- a/wingfall/gateway/knowledge/crash_ledger.py
+++ b/wingfall/gateway/knowledge/crash_ledger.py
@@ -15,7 +15,7 @@
 
 from gevent.event import Event
 
-from wingfall.gateway.knowledge.crash_sums import CrashDigests
+from wingfall.gateway.knowledge.crash_digests import CrashDigests
 from wingfall.gateway.knowledge.lost_gateways import LostGateways
 from wingfall.gateway.model.endpoint_crash import EndpointCrash
 
