--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -8,7 +8,7 @@
 import pytest
 
 from wingfall.gateway.model.endpoint_crash import EndpointCrash
-from wingfall.gateway.rules.crashes.crash_blame import find_causes
+from wingfall.gateway.rules.crashes.crash_evidence import find_causes
 
 CAUSE = b'cause'
 OTHER = b'other'
--- a/wingfall/gateway/rules/crashes/request_blocks.py
+++ b/wingfall/gateway/rules/crashes/request_blocks.py
@@ -10,7 +10,7 @@
 import hashlib
 from typing import TYPE_CHECKING, Final, final
 
-from wingfall.gateway.rules.crashes.crash_blame import CrashEvidence, find_causes
+from wingfall.gateway.rules.crashes.crash_evidence import CrashEvidence, find_causes
 from wingfall.log import log_event
 
 if TYPE_CHECKING:
