--- a/wingfall/gateway/knowledge/endpoint_knowledge.py
+++ b/wingfall/gateway/knowledge/endpoint_knowledge.py
@@ -20,7 +20,7 @@
 from wingfall.gateway.knowledge.long_reads import SHORT_PREFILL_TOKENS, LongPrefills
 from wingfall.gateway.knowledge.own_rates import OwnRates
 from wingfall.gateway.knowledge.prefix_caches import PrefixCaches
-from wingfall.gateway.knowledge.sized_rates import SelectedRates
+from wingfall.gateway.knowledge.selected_rates import SelectedRates
 from wingfall.gateway.knowledge.start_estimates import StartEstimates
 
 if TYPE_CHECKING:
