--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -14,7 +14,7 @@
 from wingfall.gateway.model.held import Held
 from wingfall.gateway.rules.pacing.pace import TokenBucket
 from wingfall.gateway.rules.pacing.rate_share import ShareTerms
-from wingfall.gateway.rules.pacing.rest_return import (
+from wingfall.gateway.rules.pacing.ramp_up import (
     RAMP_UP_RATE,
     RampUp,
     compute_jitter,
