--- a/tests/test_rate_share.py
+++ b/tests/test_rate_share.py
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import strategies
 
-from tests.rate_world import ENDPOINT, RateSimulation
+from tests.rate_simulation import ENDPOINT, RateSimulation
 from wingfall.gateway.rules.pacing.pace import TokenBucket
 from wingfall.gateway.rules.pacing.rate_share import (
     ShareTerms,
