--- a/wingfall/gateway/calls/admission.py
+++ b/wingfall/gateway/calls/admission.py
@@ -8,7 +8,7 @@
 
 from returns.result import Failure, Result, Success
 
-from wingfall.gateway.calls.pool_room import (
+from wingfall.gateway.calls.pool_capacity import (
     PoolCapacity,
     estimate_start,
     find_capacity,
