--- a/wingfall/gateway/calls/dispatcher.py
+++ b/wingfall/gateway/calls/dispatcher.py
@@ -21,7 +21,7 @@
 )
 from wingfall.gateway.calls.attempt_tracker import AttemptTracker
 from wingfall.gateway.calls.destination import choose_destination
-from wingfall.gateway.calls.held_pool import (
+from wingfall.gateway.calls.withheld_pool import (
     defer_attempt,
     defer_call,
     is_pool_withheld,
