--- a/wingfall/gateway/calls/dispatcher.py
+++ b/wingfall/gateway/calls/dispatcher.py
@@ -26,7 +26,7 @@
     defer_call,
     is_pool_withheld,
 )
-from wingfall.gateway.calls.shared_read_wait import await_shared_prefill
+from wingfall.gateway.calls.shared_prefill_wait import await_shared_prefill
 from wingfall.gateway.calls.stream_continuation import find_continuation
 from wingfall.gateway.model.attempt_end import AttemptEnd
 from wingfall.gateway.rules.admission.refusals import (
