--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -24,7 +24,7 @@
 from tools.fleet import free_port
 from wingfall.clock import ManualClock
 from wingfall.gateway.configuration.object_applier import ObjectApplier
-from wingfall.gateway.endpoints.kept_connections import ConnectionCache
+from wingfall.gateway.endpoints.connection_cache import ConnectionCache
 from wingfall.gateway.endpoints.sending_gate import SendingGate
 from wingfall.gateway.knowledge import endpoint_incarnations
 from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
--- a/wingfall/gateway/assembly.py
+++ b/wingfall/gateway/assembly.py
@@ -6,7 +6,7 @@
 
 from wingfall.clock import MS_PER_S
 from wingfall.gateway.endpoints.crash_detector import CrashDetector
-from wingfall.gateway.endpoints.kept_connections import ConnectionCache
+from wingfall.gateway.endpoints.connection_cache import ConnectionCache
 from wingfall.gateway.endpoints.sending_gate import SendingGate
 from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
 from wingfall.gateway.knowledge.full_gaps import FullGaps
--- a/wingfall/gateway/calls/attempt.py
+++ b/wingfall/gateway/calls/attempt.py
@@ -34,7 +34,7 @@
     from wingfall.gateway.endpoints.endpoint_connection import (
         EndpointConnection,
     )
-    from wingfall.gateway.endpoints.kept_connections import ConnectionCache
+    from wingfall.gateway.endpoints.connection_cache import ConnectionCache
     from wingfall.gateway.model.answer_signals import AnswerSignals
     from wingfall.gateway.model.binding import AnswerHead, Binding
     from wingfall.gateway.model.call import Call, Headers
--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -1,7 +1,7 @@
 """Check if an endpoint takes a request of this gateway now.
 
 The gate is checked wherever a request is sent, finally by
-:mod:`wingfall.gateway.endpoints.kept_connections`, so that no request bypasses
+:mod:`wingfall.gateway.endpoints.connection_cache`, so that no request bypasses
 the signals of its endpoint. The gate owns the token bucket of each endpoint
 that sends a limit.
 """
--- a/wingfall/gateway/peers/caches/memory_survey.py
+++ b/wingfall/gateway/peers/caches/memory_survey.py
@@ -33,7 +33,7 @@
     from wingfall.gateway.endpoints.endpoint_connection import (
         EndpointConnection,
     )
-    from wingfall.gateway.endpoints.kept_connections import ConnectionCache
+    from wingfall.gateway.endpoints.connection_cache import ConnectionCache
     from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
     from wingfall.gateway.model.binding import Binding
     from wingfall.gateway.model.pool_endpoint import PoolEndpoint
