--- a/wingfall/gateway/peers/crash_exchange.py
+++ b/wingfall/gateway/peers/crash_exchange.py
@@ -13,7 +13,7 @@
 
 from wingfall.gateway.model.endpoint_crash import EndpointCrash
 from wingfall.gateway.model.fingerprint import FINGERPRINT_BYTES
-from wingfall.gateway.peers.news_repair import AntiEntropy
+from wingfall.gateway.peers.anti_entropy import AntiEntropy
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
--- a/wingfall/gateway/peers/signal_exchange.py
+++ b/wingfall/gateway/peers/signal_exchange.py
@@ -12,7 +12,7 @@
 
 from wingfall.gateway.model.endpoint_leaving import EndpointLeaving
 from wingfall.gateway.model.endpoint_limit import EndpointLimit
-from wingfall.gateway.peers.news_repair import AntiEntropy
+from wingfall.gateway.peers.anti_entropy import AntiEntropy
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
