--- a/wingfall/gateway/peers/heartbeat_writer.py
+++ b/wingfall/gateway/peers/heartbeat_writer.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Any, Callable, final
 
 from wingfall.gateway.peers.loads.load_entries import Activity
-from wingfall.gateway.peers.news_exchange import PeerUpdates
+from wingfall.gateway.peers.update_exchange import PeerUpdates
 from wingfall.wire.gateway_messages import GatewayHeartbeat
 
 if TYPE_CHECKING:
@@ -16,7 +16,7 @@
 
     from wingfall.gateway.peers.caches.parts_transfer import PartsTransfer
     from wingfall.gateway.peers.loads.load_exchange import LoadExchange
-    from wingfall.gateway.peers.news_exchange import UpdateExchange
+    from wingfall.gateway.peers.update_exchange import UpdateExchange
     from wingfall.gateway.peers.objects.object_exchange import ObjectExchange
     from wingfall.gateway.peers.peer_session import PeerSession
 
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -15,7 +15,7 @@
 from wingfall.gateway.peers.heartbeat_writer import HeartbeatWriter
 from wingfall.gateway.peers.loads.load_entries import Activity
 from wingfall.gateway.peers.loads.load_exchange import LoadExchange
-from wingfall.gateway.peers.news_exchange import (
+from wingfall.gateway.peers.update_exchange import (
     UpdateKind,
     PeerUpdates,
     UpdateExchange,
