--- a/tests/exchange_site.py
+++ b/tests/exchange_site.py
@@ -137,7 +137,9 @@
                 self._report(one, whole=whole)
         for one in self.gateways:
             if one.alive:
-                one.exchange.relay_zone_loads(one.sessions.values(), whole=whole)
+                one.exchange.relay_zone_loads(
+                    one.sessions.values(), whole=whole
+                )
 
     def kill(self, gateway: Gateway) -> None:
         """Stop a gateway and remove the sessions of the others with it."""
@@ -187,7 +189,10 @@
         others = [self._by_name[name] for name in one.sessions]
         near = [each for each in others if each.zone == one.zone]
         now_ms = self.clock.now_ms()
-        if now_ms - one.last_report_ms < heartbeat_interval_ms(len(near)) and not whole:
+        if (
+            now_ms - one.last_report_ms < heartbeat_interval_ms(len(near))
+            and not whole
+        ):
             return
         one.last_report_ms = now_ms
         reach = one.exchange.count_reached_zones(one.sessions.values())
--- a/tests/gateway_site.py
+++ b/tests/gateway_site.py
@@ -172,9 +172,13 @@
         :param pool: name of the pool.
         :param state: ``ready`` or ``draining``.
         """
-        self.store.put('servers', name, self.make_entry(name, pool, state=state))
+        self.store.put(
+            'servers', name, self.make_entry(name, pool, state=state)
+        )
 
-    def make_entry(self, name: str, pool: str, **changes: Any) -> dict[str, Any]:
+    def make_entry(
+        self, name: str, pool: str, **changes: Any
+    ) -> dict[str, Any]:
         """Create an endpoint's store entry.
 
         :param name: endpoint id.
--- a/tests/load_replay.py
+++ b/tests/load_replay.py
@@ -41,9 +41,9 @@
 from wingfall.gateway.model.routes import CallerLimits, Pool, Routes
 from wingfall.gateway.peers.heartbeat_schedule import heartbeat_interval_ms
 from wingfall.gateway.peers.loads.load_exchange import LoadExchange
+from wingfall.gateway.rules.admission.deferred_calls import DeferredCalls
 from wingfall.gateway.rules.admission.early_refusal import admissions
 from wingfall.gateway.rules.admission.fair_shares import FairShares
-from wingfall.gateway.rules.admission.deferred_calls import DeferredCalls
 from wingfall.gateway.rules.pacing.rate_share import share_among_few
 from wingfall.gateway.rules.placement.cache_transfer import copy_nothing
 from wingfall.gateway.rules.placement.endpoint_choice import place_by_cost
@@ -52,8 +52,8 @@
 from wingfall.gateway.rules.placement.stream_backup import back_up_nothing
 from wingfall.gateway.rules.retries.retry import (
     CallProgress,
-    RetryTerms,
     RetryDecision,
+    RetryTerms,
     decide_retry,
 )
 from wingfall.metrics import Metrics
@@ -242,7 +242,9 @@
         self.knowledge = EndpointKnowledge(
             clock=clock,
             rates=rates,
-            start_estimates=starts(get_fixed_overhead_ms=rates.fixed_overhead_ms),
+            start_estimates=starts(
+                get_fixed_overhead_ms=rates.fixed_overhead_ms
+            ),
             full_gaps=FullGaps(clock=clock, reports_gaps=True),
         )
         self.session = SimpleNamespace(name=name, zone='a')
@@ -523,7 +525,8 @@
         if self.clock.now_ms() < self._pattern.seconds * _MS:
             peers = len(self._gateways) - 1
             self._run_after(
-                heartbeat_interval_ms(peers), lambda: self._send_heartbeat(gateway)
+                heartbeat_interval_ms(peers),
+                lambda: self._send_heartbeat(gateway),
             )
 
     def _add_engine(self, max_delay_ms: int) -> None:
--- a/tests/test_cache_transfer.py
+++ b/tests/test_cache_transfer.py
@@ -40,7 +40,10 @@
 
 
 def test_failing_engine_is_not_copied_from():
-    faulty, healthy = engine('failing', 5000, failure_rate=0.5), engine('ok', 2000)
+    faulty, healthy = (
+        engine('failing', 5000, failure_rate=0.5),
+        engine('ok', 2000),
+    )
     assert copy_from_largest_cache([faulty, healthy], SPEEDUP) is healthy
     assert copy_from_largest_cache([faulty], SPEEDUP) is None
 
--- a/tests/test_call_rules.py
+++ b/tests/test_call_rules.py
@@ -35,15 +35,15 @@
 from wingfall.gateway.rules.placement.pool_choice import pick_pool
 from wingfall.gateway.rules.placement.shortlist import (
     choose_sample_size,
-    prefer_available,
     make_shortlist,
+    prefer_available,
 )
 from wingfall.gateway.rules.placement.stream_backup import back_up_long_answers
 from wingfall.gateway.rules.planned_stop import StopSchedule
 from wingfall.gateway.rules.retries.retry import (
     CallProgress,
-    RetryTerms,
     RetryDecision,
+    RetryTerms,
     decide_retry,
 )
 
@@ -342,7 +342,9 @@
 
 @pytest.mark.parametrize('sample_size', [6, 24])
 @pytest.mark.parametrize('caching_count', [0, 5, 24, 60])
-def test_sample_of_large_pool_is_considered(caching_count: int, sample_size: int):
+def test_sample_of_large_pool_is_considered(
+    caching_count: int, sample_size: int
+):
     endpoints = [make_endpoint(str(number)) for number in range(200)]
     caching = endpoints[:caching_count]
     considered = list_considered(endpoints, caching, sample_size)
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -17,7 +17,9 @@
 SUSPENDED_MS = 5000
 
 
-def test_clock_includes_the_time_of_a_suspension(monkeypatch: pytest.MonkeyPatch):
+def test_clock_includes_the_time_of_a_suspension(
+    monkeypatch: pytest.MonkeyPatch,
+):
     gettime_ns = time.clock_gettime_ns
 
     def resumed_gettime_ns(clock_id: int) -> int:
--- a/tests/test_configuration_over_slow_links.py
+++ b/tests/test_configuration_over_slow_links.py
@@ -64,7 +64,9 @@
         for number in range(PEERS)
     ]
     for peer in peers:
-        peer.apply_configuration(10, {'version': 1, 'routes': [], 'services': []})
+        peer.apply_configuration(
+            10, {'version': 1, 'routes': [], 'services': []}
+        )
     yield peers
     for peer in peers:
         peer.stop()
--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -54,7 +54,9 @@
 
 def test_cause_is_only_suspect_unless_tied_with_another():
     tied = [crash(number, CAUSE, OTHER) for number in range(3)]
-    assert not any(each.is_only_suspect for each in find_causes(tied, {}).values())
+    assert not any(
+        each.is_only_suspect for each in find_causes(tied, {}).values()
+    )
     apart = [crash(number, CAUSE) for number in range(3)]
     apart += [crash(3 + number, OTHER) for number in range(3)]
     assert all(each.is_only_suspect for each in find_causes(apart, {}).values())
--- a/tests/test_crash_exchange.py
+++ b/tests/test_crash_exchange.py
@@ -26,7 +26,9 @@
     return gateway._state.knowledge.crashes
 
 
-def crash(endpoint: str, *, at_ms: int, reported_by: str = 'g1') -> EndpointCrash:
+def crash(
+    endpoint: str, *, at_ms: int, reported_by: str = 'g1'
+) -> EndpointCrash:
     """Return a crash with one suspect request."""
     return EndpointCrash(
         endpoint=endpoint,
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -8,8 +8,8 @@
 
 from wingfall.clock import ManualClock
 from wingfall.gateway.knowledge.crash_ledger import (
-    MAX_SUSPECTS,
     MAX_REPORTED_SUSPECTS,
+    MAX_SUSPECTS,
     CrashLedger,
 )
 from wingfall.gateway.model.endpoint_crash import EndpointCrash
@@ -53,7 +53,9 @@
     assert crash.streaming == {b'c'}
 
 
-def test_crash_updates_are_reported_once(ledger: CrashLedger, clock: ManualClock):
+def test_crash_updates_are_reported_once(
+    ledger: CrashLedger, clock: ManualClock
+):
     record_crash(ledger, clock, 'e1', b'a')
     record_crash(ledger, clock, 'e1', b'b')
     (reported,) = ledger.take_unreported_crashes()
@@ -68,7 +70,10 @@
     ledger: CrashLedger, clock: ManualClock
 ):
     crash = EndpointCrash(
-        endpoint='e1', crashed_ms=clock.now_ms(), reported_by='g2', silent=[b'a']
+        endpoint='e1',
+        crashed_ms=clock.now_ms(),
+        reported_by='g2',
+        silent=[b'a'],
     )
     assert ledger.merge_crash(crash) is not None
     assert ledger.merge_crash(crash) is None
@@ -131,9 +136,7 @@
     assert 'e1' not in remaining
 
 
-def test_crash_expires_after_a_day(
-    ledger: CrashLedger, clock: ManualClock
-):
+def test_crash_expires_after_a_day(ledger: CrashLedger, clock: ManualClock):
     record_crash(ledger, clock, 'e1', b'a')
     clock.advance(DAY_MS)
     ledger.forget_old()
--- a/tests/test_customer_work.py
+++ b/tests/test_customer_work.py
@@ -27,7 +27,9 @@
     return work.decayed_work(POOL)[customer].asked
 
 
-def test_work_decays_by_half_in_a_half_life(work: CustomerWork, clock: ManualClock):
+def test_work_decays_by_half_in_a_half_life(
+    work: CustomerWork, clock: ManualClock
+):
     work.note(POOL, 'aker', Work(asked=4000, given=2000))
     clock.advance(HALF_LIFE_MS)
     work.note(POOL, 'aker', Work(asked=1000))
@@ -59,7 +61,9 @@
     assert not work.take_unreported()
 
 
-def test_customers_with_decayed_work_are_removed(work: CustomerWork, clock: ManualClock):
+def test_customers_with_decayed_work_are_removed(
+    work: CustomerWork, clock: ManualClock
+):
     work.note(POOL, 'aker', Work(asked=4000))
     for _half_life in range(30):
         clock.advance(HALF_LIFE_MS)
--- a/tests/test_deferred_calls.py
+++ b/tests/test_deferred_calls.py
@@ -2,7 +2,10 @@
 
 from __future__ import annotations
 
-from wingfall.gateway.rules.admission.deferred_calls import DeferredCalls, AdmissionSlots
+from wingfall.gateway.rules.admission.deferred_calls import (
+    AdmissionSlots,
+    DeferredCalls,
+)
 
 POOL = 'engines'
 SLOTS = AdmissionSlots(first_ms=300, interval_ms=500)
--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -27,12 +27,12 @@
 from wingfall.gateway.endpoints.connection_cache import ConnectionCache
 from wingfall.gateway.endpoints.sending_gate import SendingGate
 from wingfall.gateway.knowledge import endpoint_incarnations
-from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
 from wingfall.gateway.knowledge.endpoint_incarnations import (
     EndpointIncarnations,
     EntryStatus,
     select_own_entries,
 )
+from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
 from wingfall.gateway.knowledge.endpoint_signals import EndpointSignals
 from wingfall.gateway.knowledge.load import EndpointLoad
 from wingfall.gateway.knowledge.prefix_caches import SentPrompt
@@ -245,7 +245,9 @@
     again = started(LATER_MS, address=server.address)
     connection = kept.acquire(first, timeout_ms=1000, allow_reuse=True)
     kept._idle[first.name] = [connection]
-    assert kept.acquire(again, timeout_ms=1000, allow_reuse=True) is not connection
+    assert (
+        kept.acquire(again, timeout_ms=1000, allow_reuse=True) is not connection
+    )
     assert kept.acquire(first, timeout_ms=1000, allow_reuse=True) is connection
     kept._idle[first.name] = [connection]
     kept.retain_only({again.name})
--- a/tests/test_engine_groups.py
+++ b/tests/test_engine_groups.py
@@ -11,8 +11,8 @@
 from wingfall.gateway.rules.placement.engine_groups import (
     EngineGrouping,
     PoolState,
-    reserve_none,
     group_by_gap,
+    reserve_none,
 )
 
 SHORT_MS = 200
@@ -106,7 +106,9 @@
 
 
 def test_baseline_policy_returns_no_grouping():
-    assert reserve_none(make_pool(make_engines(), streams={SHORT_MS: 400})) is None
+    assert (
+        reserve_none(make_pool(make_engines(), streams={SHORT_MS: 400})) is None
+    )
 
 
 def test_quick_engines_keep_short_gap_bound_during_prefills():
--- a/tests/test_fair_admission.py
+++ b/tests/test_fair_admission.py
@@ -23,8 +23,8 @@
     StartEstimate,
     admit_fairly,
     fair_bound_ms,
-    start_margin,
     refusal_reason,
+    start_margin,
 )
 from wingfall.gateway.rules.admission.retry_after import jittered_ms
 
@@ -72,7 +72,9 @@
     assert is_admitted(700, use=10, empty_queue_start_ms=650)
     assert not is_admitted(800, use=10, empty_queue_start_ms=650)
     # The bound for all customers still applies.
-    assert not is_admitted(TARGET_MS + 10, use=10, empty_queue_start_ms=TARGET_MS)
+    assert not is_admitted(
+        TARGET_MS + 10, use=10, empty_queue_start_ms=TARGET_MS
+    )
 
 
 def test_prompt_is_not_refused_for_its_own_length():
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -128,9 +128,7 @@
     st.lists(st.floats(min_value=0.1, max_value=1e6), min_size=1),
     st.floats(min_value=0.1, max_value=1e6),
 )
-def test_shares_use_exactly_the_supply(
-    demands: list[float], supply: float
-):
+def test_shares_use_exactly_the_supply(demands: list[float], supply: float):
     share = fair_share(demands, supply)
     used = sum(min(share, demand) for demand in demands)
     assert used == pytest.approx(min(supply, sum(demands)))
--- a/tests/test_gateway_load.py
+++ b/tests/test_gateway_load.py
@@ -14,8 +14,8 @@
 from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 from wingfall.gateway.peers.loads.load_entries import (
     decode_loads,
-    encode_loads,
     encode_load,
+    encode_loads,
 )
 
 # How long a lapsed entry is still used.
@@ -68,13 +68,17 @@
 def test_total_load_includes_peers():
     table = LoadTable()
     table.start('one', EndpointLoad(running=1))
-    table.merge_from_peer('peer', [('one', EndpointLoad(running=2))], whole=True)
+    table.merge_from_peer(
+        'peer', [('one', EndpointLoad(running=2))], whole=True
+    )
     assert table.total('one').running == 3
     table.merge_from_peer(
         'peer', [('two', EndpointLoad(running=1))], whole=False
     )
     assert table.total('one').running == 3
-    table.merge_from_peer('peer', [('two', EndpointLoad(running=1))], whole=True)
+    table.merge_from_peer(
+        'peer', [('two', EndpointLoad(running=1))], whole=True
+    )
     assert table.total('one').running == 1
     table.remove_peer('peer')
     assert table.total('one').running == 1
@@ -208,7 +212,9 @@
     assert names == ['two', 'three']
 
 
-def test_endpoints_are_usable_after_their_entries_lapsed_together(clock: ManualClock):
+def test_endpoints_are_usable_after_their_entries_lapsed_together(
+    clock: ManualClock,
+):
     table = EndpointTable(clock=clock)
     for name in ('one', 'two', 'three'):
         table.put(make_endpoint(name))
--- a/tests/test_gateway_requests.py
+++ b/tests/test_gateway_requests.py
@@ -155,7 +155,9 @@
         assert answer.status == 200
 
 
-def test_request_without_reachable_endpoint_is_refused_as_not_run(plain_site: GatewaySite):
+def test_request_without_reachable_endpoint_is_refused_as_not_run(
+    plain_site: GatewaySite,
+):
     for server in plain_site.servers.values():
         server.stop()
     answer = plain_site.ask('/unsafe/x', method='POST')
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -92,7 +92,9 @@
     assert sum(len(each.runs) for each in engine_site.servers.values()) == 1
 
 
-def test_last_event_id_of_the_caller_is_sent_to_the_engine(engine_site: GatewaySite):
+def test_last_event_id_of_the_caller_is_sent_to_the_engine(
+    engine_site: GatewaySite,
+):
     answer = engine_site.ask(
         '/stream/x', method='POST', Last_Event_Id='1', **PROMPT
     )
@@ -113,7 +115,9 @@
     assert counts == [0, 6]
 
 
-def test_gateways_send_a_shared_part_to_the_same_engine(engine_site: GatewaySite):
+def test_gateways_send_a_shared_part_to_the_same_engine(
+    engine_site: GatewaySite,
+):
     engine_site.add_gateway()
     second = engine_site.gateways[1]
     wait_until(lambda: second.status()['peers'])
@@ -155,7 +159,9 @@
     assert sorted(counts)[-2:] == [0, 3]
 
 
-def test_idle_engine_copies_a_cached_part_from_another(gateway_site: GatewaySite):
+def test_idle_engine_copies_a_cached_part_from_another(
+    gateway_site: GatewaySite,
+):
     engine = gateway_site.config['services'][1]['engine']
     engine.update(kv_token_bytes=18_432, link_mbps=180_000, moves=True)
     gateway_site.write_config()
--- a/tests/test_kept_engines.py
+++ b/tests/test_kept_engines.py
@@ -16,8 +16,8 @@
 from wingfall.gateway.rules.placement.candidate import Demand
 from wingfall.gateway.rules.placement.engine_groups import (
     EngineGroupPolicy,
-    reserve_none,
     group_by_gap,
+    reserve_none,
 )
 from wingfall.gateway.rules.placement.group_size import GroupSize
 from wingfall.gateway.rules.placement.reserved_engines import ReservedEngines
@@ -65,7 +65,9 @@
         self.clock = ManualClock(start_ms=1000)
         self.knowledge = EndpointKnowledge(clock=self.clock)
         self.reserved = ReservedEngines(
-            clock=self.clock, knowledge=self.knowledge, group_policy=group_policy
+            clock=self.clock,
+            knowledge=self.knowledge,
+            group_policy=group_policy,
         )
         for name in sorted(QUICK | SLOW):
             self._add(name, 80 if name in QUICK else 360)
@@ -121,7 +123,9 @@
                 draining=False,
             )
         )
-        self.knowledge.merge_gap_samples(name, list(itertools.repeat(gap_ms, 8)))
+        self.knowledge.merge_gap_samples(
+            name, list(itertools.repeat(gap_ms, 8))
+        )
 
 
 @pytest.fixture
--- a/tests/test_memory_survey.py
+++ b/tests/test_memory_survey.py
@@ -9,7 +9,10 @@
 from tests.gateway_site import GatewaySite, caches_part
 from tests.local_site import wait_until
 from wingfall.gateway.application import GatewayApplication
-from wingfall.gateway.knowledge.prefix_caches import MAX_REPORTED_PARTS, PrefixCaches
+from wingfall.gateway.knowledge.prefix_caches import (
+    MAX_REPORTED_PARTS,
+    PrefixCaches,
+)
 from wingfall.gateway.model.prompt import PromptPart
 from wingfall.platform.documents import read_memory
 
--- a/tests/test_object_exchange.py
+++ b/tests/test_object_exchange.py
@@ -94,7 +94,9 @@
     assert count_fetches(local_peers[1]) == 1
 
 
-def test_fetch_at_disconnected_peer_is_cancelled(local_peers: list[PeerSession]):
+def test_fetch_at_disconnected_peer_is_cancelled(
+    local_peers: list[PeerSession],
+):
     gateway = _Gateway(revision=0)
     gateway.receive_revision(local_peers[0], 5)
     gateway.exchange.cancel_fetches(local_peers[0])
@@ -108,8 +110,12 @@
     gateway = _Gateway(revision=0)
     gateway.receive_revision(local_peers[0], 5)
     answering = _Gateway(revision=5)
-    answering.exchange.send_objects(local_peers[1], local_peers[0].connection.sent[0])
-    gateway.exchange.process_page(local_peers[0], local_peers[1].connection.sent[0])
+    answering.exchange.send_objects(
+        local_peers[1], local_peers[0].connection.sent[0]
+    )
+    gateway.exchange.process_page(
+        local_peers[0], local_peers[1].connection.sent[0]
+    )
     assert gateway.replica.revision == 5
     assert gateway.replica.since(0)[0].spec == {}
     gateway.receive_revision(local_peers[2], 6)
@@ -239,7 +245,9 @@
 def test_older_program_gets_whole_objects():
     ahead = _Gateway(revision=5)
     back = peer('older')
-    ahead.exchange.send_objects(back, ObjectsFetch(kind=ROUTES_KIND, revision=4))
+    ahead.exchange.send_objects(
+        back, ObjectsFetch(kind=ROUTES_KIND, revision=4)
+    )
     (page,) = back.connection.sent
     assert page.objects == [['main', 5, b'{}']]
     behind = _Gateway(revision=4)
--- a/tests/test_peer_sessions.py
+++ b/tests/test_peer_sessions.py
@@ -22,8 +22,12 @@
 
 GATEWAY = 'gateway-0'
 NAMES = [f'peer-{number}' for number in range(500)]
-LOWER_RANKED = next(name for name in NAMES if compute_rank(name) < compute_rank(GATEWAY))
-HIGHER_RANKED = next(name for name in NAMES if compute_rank(name) > compute_rank(GATEWAY))
+LOWER_RANKED = next(
+    name for name in NAMES if compute_rank(name) < compute_rank(GATEWAY)
+)
+HIGHER_RANKED = next(
+    name for name in NAMES if compute_rank(name) > compute_rank(GATEWAY)
+)
 
 
 @final
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -6,8 +6,8 @@
 
 from wingfall.gateway.rules.placement.candidate import Candidate, Demand
 from wingfall.gateway.rules.placement.endpoint_choice import (
-    late_start_probability,
     expected_late_streams,
+    late_start_probability,
     place_by_cost,
     place_by_running_requests,
 )
@@ -142,4 +142,6 @@
 
 
 def test_unreported_tokens_decide_between_equal_engines():
-    assert choose(prompt(), engine('a', unreported_tokens=10), engine('b')) == 'b'
+    assert (
+        choose(prompt(), engine('a', unreported_tokens=10), engine('b')) == 'b'
+    )
--- a/tests/test_rate_share.py
+++ b/tests/test_rate_share.py
@@ -44,7 +44,9 @@
 @pytest.mark.parametrize('rate', RATES)
 def test_first_requests_of_all_are_within_the_bound(rate: float, count: int):
     # The burst of each gateway, at least one request, and then the rate.
-    buckets = [TokenBucket(rate=share, now_ms=0) for share in list_shares(rate, count)]
+    buckets = [
+        TokenBucket(rate=share, now_ms=0) for share in list_shares(rate, count)
+    ]
     burst = sum(each.take(60_000) for each in buckets for _call in range(100))
     assert burst + 4 * rate <= max_requests(rate)
 
@@ -144,7 +146,9 @@
 def test_halves_that_are_cut_from_each_other(
     rate: float, seconds: float, times: int
 ):
-    simulation = RateSimulation(gateways=8, rate=rate, seed=5, demand=max(8, rate))
+    simulation = RateSimulation(
+        gateways=8, rate=rate, seed=5, demand=max(8, rate)
+    )
     simulation.run(5)
     simulation.partition({f'g{number}' for number in range(4)})
     simulation.run(seconds)
@@ -168,7 +172,9 @@
 def test_limit_is_used(rate: float, gateways: int):
     # Each gateway has calls for three times its share, or four per second.
     demand = max(4, 3 * rate / gateways)
-    simulation = RateSimulation(gateways=gateways, rate=rate, seed=1, demand=demand)
+    simulation = RateSimulation(
+        gateways=gateways, rate=rate, seed=1, demand=demand
+    )
     simulation.run(10)
     since_ms = simulation.clock.now_ms()
     simulation.run(60)
--- a/tests/test_reading_window.py
+++ b/tests/test_reading_window.py
@@ -49,15 +49,15 @@
 
 
 def test_slowdown_does_not_change_the_rate():
-    window = record(PrefillRateWindow(), *repeat(FAST, 11), *repeat(SLOWDOWN, 5))
+    window = record(
+        PrefillRateWindow(), *repeat(FAST, 11), *repeat(SLOWDOWN, 5)
+    )
     # A high quantile of sixteen tolerates thirteen samples that are too low.
     assert window.rate == FAST
 
 
 @pytest.mark.parametrize(('before', 'after'), [(FAST, SLOW), (SLOW, FAST)])
-def test_rate_change_is_followed_within_the_window(
-    before: float, after: float
-):
+def test_rate_change_is_followed_within_the_window(before: float, after: float):
     window = record(PrefillRateWindow(), *repeat(before, 30))
     record(window, *repeat(after, 14), from_ms=30 * STEP_MS)
     assert window.rate == after
--- a/tests/test_sending_gate.py
+++ b/tests/test_sending_gate.py
@@ -9,8 +9,8 @@
 from tests.gateway_site import CallerStandIn, GatewaySite
 from tests.local_site import wait_until
 from wingfall.clock import ManualClock
-from wingfall.gateway.endpoints.endpoint_connection import EndpointWithheldError
 from wingfall.gateway.endpoints.connection_cache import ConnectionCache
+from wingfall.gateway.endpoints.endpoint_connection import EndpointWithheldError
 from wingfall.gateway.endpoints.sending_gate import SendingGate
 from wingfall.gateway.knowledge.endpoint_signals import EndpointSignals
 from wingfall.gateway.model.answer_signals import AnswerSignals
--- a/tests/test_shared_rates.py
+++ b/tests/test_shared_rates.py
@@ -6,7 +6,10 @@
 
 from wingfall.clock import ManualClock
 from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
-from wingfall.gateway.knowledge.engine_speed import INITIAL_TOKENS_PER_MS, MAX_TOKENS_PER_MS
+from wingfall.gateway.knowledge.engine_speed import (
+    INITIAL_TOKENS_PER_MS,
+    MAX_TOKENS_PER_MS,
+)
 from wingfall.gateway.knowledge.engine_speeds import EngineSpeeds, OwnRates
 from wingfall.gateway.knowledge.shared_rates import SharedRates
 from wingfall.gateway.peers.loads.load_entries import Activity, note_activity
@@ -50,7 +53,9 @@
         rates.note(engine, POOL, LONG_TOKENS, elapsed_ms)
     assert rate_of(rates, 'new') == 50
     assert rates.pool_rate(POOL).tokens_per_ms == 50
-    assert rates.find('other', 'other pool').tokens_per_ms == INITIAL_TOKENS_PER_MS
+    assert (
+        rates.find('other', 'other pool').tokens_per_ms == INITIAL_TOKENS_PER_MS
+    )
 
 
 def test_pending_tokens_are_excluded_from_samples(
--- a/tests/test_signal_exchange.py
+++ b/tests/test_signal_exchange.py
@@ -30,7 +30,9 @@
     return SignalExchange(clock=clock, signals=signals), signals
 
 
-def heartbeat(updates: SignalUpdates, signal_digest: int = 0) -> GatewayHeartbeat:
+def heartbeat(
+    updates: SignalUpdates, signal_digest: int = 0
+) -> GatewayHeartbeat:
     """Return a heartbeat that carries updates."""
     return GatewayHeartbeat(
         revisions={'routes': 1, 'endpoints': 1},
@@ -45,14 +47,20 @@
     )
 
 
-def test_peer_that_never_called_the_endpoint_receives_its_signals(clock: ManualClock):
+def test_peer_that_never_called_the_endpoint_receives_its_signals(
+    clock: ManualClock,
+):
     sender, own_signals = make_exchange('g1', clock)
     receiver, peer_signals = make_exchange('g2', clock)
     own_signals.note_answer('e1', AnswerSignals(rate=2, leaving=True), 99_990)
     clock.advance(70)
     receiver.merge(sender.take_unreported())
     limit = peer_signals.limits['e1']
-    assert (limit.rate, limit.reported_by, limit.received_ms) == (2, 'g1', 100_000)
+    assert (limit.rate, limit.reported_by, limit.received_ms) == (
+        2,
+        'g1',
+        100_000,
+    )
     assert peer_signals.leaving['e1'].reported_by == 'g1'
     assert receiver.recent_digest == sender.recent_digest
     # Signals received from a peer are not forwarded.
--- a/tests/test_start_estimates.py
+++ b/tests/test_start_estimates.py
@@ -76,7 +76,9 @@
     assert starts.expected_ms(POOL, 0, 150) == pytest.approx(200)
 
 
-def test_error_is_relative_to_the_corrected_estimate(starts: CorrectedEstimates):
+def test_error_is_relative_to_the_corrected_estimate(
+    starts: CorrectedEstimates,
+):
     note_all(starts, 0, *repeat((150, 400), 4))
     assert starts.errors[POOL, 0].median == 2
     note_all(starts, 0, *repeat((150, 400), 28))
--- a/tests/test_stored_objects.py
+++ b/tests/test_stored_objects.py
@@ -26,8 +26,8 @@
 from wingfall.gateway.model.object_store import StoredObject, StoreReading
 from wingfall.gateway.model.prompt import PromptPart
 from wingfall.gateway.peers.objects.object_transfer import (
-    pack_objects,
     decode_objects,
+    pack_objects,
     unpack_objects,
 )
 from wingfall.metrics import Metrics
--- a/tests/test_watch_duty.py
+++ b/tests/test_watch_duty.py
@@ -61,8 +61,13 @@
 def test_waves_restart_after_enough_watchers():
     duties = make_duties()
     assert len(watchers(make_peers(watching=0), duties, 0)) == 2 * WATCHER_COUNT
-    assert len(watchers(make_peers(watching=WATCHER_COUNT), duties, 900)) == WATCHER_COUNT
-    assert len(watchers(make_peers(watching=0), duties, 1000)) == 2 * WATCHER_COUNT
+    assert (
+        len(watchers(make_peers(watching=WATCHER_COUNT), duties, 900))
+        == WATCHER_COUNT
+    )
+    assert (
+        len(watchers(make_peers(watching=0), duties, 1000)) == 2 * WATCHER_COUNT
+    )
 
 
 def test_gateway_without_peers_watches():
--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -284,7 +284,9 @@
         while not self._supervisor.stopped:
             gevent.sleep(_FORGET_MS / MS_PER_S)
             self._state.knowledge.forget_departed()
-            set_start_errors(self._metrics, self._state.knowledge.start_estimates)
+            set_start_errors(
+                self._metrics, self._state.knowledge.start_estimates
+            )
             names = self._state.knowledge.table.names
             self._state.connections.retain_only(names)
             self._state.gate.retain_only(names)
--- a/wingfall/gateway/assembly.py
+++ b/wingfall/gateway/assembly.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING, Any, Final
 
 from wingfall.clock import MS_PER_S
-from wingfall.gateway.endpoints.crash_detector import CrashDetector
 from wingfall.gateway.endpoints.connection_cache import ConnectionCache
+from wingfall.gateway.endpoints.crash_detector import CrashDetector
 from wingfall.gateway.endpoints.sending_gate import SendingGate
 from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
 from wingfall.gateway.knowledge.full_gaps import FullGaps
@@ -60,7 +60,9 @@
         clock=clock,
         name=settings.name,
         rates=rates,
-        start_estimates=policies.start_estimates(get_fixed_overhead_ms=rates.fixed_overhead_ms),
+        start_estimates=policies.start_estimates(
+            get_fixed_overhead_ms=rates.fixed_overhead_ms
+        ),
         full_gaps=FullGaps(
             clock=clock,
             reports_gaps=policies.engine_groups is not reserve_none,
--- a/wingfall/gateway/callers/caller_connection.py
+++ b/wingfall/gateway/callers/caller_connection.py
@@ -19,8 +19,8 @@
 
 from wingfall.clock import MS_PER_S
 from wingfall.gateway.callers.request_reader import (
-    RequestTimeoutError,
     RequestReader,
+    RequestTimeoutError,
 )
 from wingfall.gateway.calls.dispatcher import Dispatch, ReplyCutError
 from wingfall.gateway.calls.final_answer import (
--- a/wingfall/gateway/calls/admission.py
+++ b/wingfall/gateway/calls/admission.py
@@ -10,16 +10,16 @@
 
 from wingfall.gateway.calls.pool_capacity import (
     PoolCapacity,
+    choose_timely_engine,
     estimate_start,
     find_capacity,
-    choose_timely_engine,
 )
 from wingfall.gateway.knowledge.customer_work import Work, prompt_work
 from wingfall.gateway.rules.admission.early_refusal import (
     MAX_RELATIVE_USE,
     admissions,
-    start_margin,
     refusal_reason,
+    start_margin,
 )
 from wingfall.gateway.rules.admission.refusals import refuse_early
 from wingfall.gateway.rules.admission.retry_after import jittered_ms
--- a/wingfall/gateway/calls/attempt.py
+++ b/wingfall/gateway/calls/attempt.py
@@ -19,8 +19,8 @@
     BufferedAnswer,
 )
 from wingfall.gateway.endpoints.endpoint_connection import (
-    BrokenAnswerError,
     AnswerTimeoutError,
+    BrokenAnswerError,
     EndpointWithheldError,
     NotConnectedError,
 )
@@ -31,10 +31,10 @@
 if TYPE_CHECKING:
     from wingfall.gateway.calls.destination import Destination
     from wingfall.gateway.calls.reply import Reply
+    from wingfall.gateway.endpoints.connection_cache import ConnectionCache
     from wingfall.gateway.endpoints.endpoint_connection import (
         EndpointConnection,
     )
-    from wingfall.gateway.endpoints.connection_cache import ConnectionCache
     from wingfall.gateway.model.answer_signals import AnswerSignals
     from wingfall.gateway.model.binding import AnswerHead, Binding
     from wingfall.gateway.model.call import Call, Headers
--- a/wingfall/gateway/calls/attempt_tracker.py
+++ b/wingfall/gateway/calls/attempt_tracker.py
@@ -182,7 +182,9 @@
         prefill_timeout_ms = int(self._estimate_ms * _PREFILL_TIMEOUT_FACTOR)
         self._state.knowledge.caches.note_sent(
             SentPrompt(
-                endpoint=name, parts=prompt.shared, uncached_tokens=uncached_tokens
+                endpoint=name,
+                parts=prompt.shared,
+                uncached_tokens=uncached_tokens,
             ),
             self._state.clock.now_ms() + prefill_timeout_ms,
         )
--- a/wingfall/gateway/calls/dispatcher.py
+++ b/wingfall/gateway/calls/dispatcher.py
@@ -21,13 +21,13 @@
 )
 from wingfall.gateway.calls.attempt_tracker import AttemptTracker
 from wingfall.gateway.calls.destination import choose_destination
+from wingfall.gateway.calls.shared_prefill_wait import await_shared_prefill
+from wingfall.gateway.calls.stream_continuation import find_continuation
 from wingfall.gateway.calls.withheld_pool import (
     defer_attempt,
     defer_call,
     is_pool_withheld,
 )
-from wingfall.gateway.calls.shared_prefill_wait import await_shared_prefill
-from wingfall.gateway.calls.stream_continuation import find_continuation
 from wingfall.gateway.model.attempt_end import AttemptEnd
 from wingfall.gateway.rules.admission.refusals import (
     refuse_after,
@@ -41,8 +41,8 @@
 )
 from wingfall.gateway.rules.retries.retry import (
     CallProgress,
-    RetryTerms,
     RetryDecision,
+    RetryTerms,
     decide_retry,
 )
 
@@ -273,7 +273,9 @@
         if self._failed_answer is not None:
             self._send_whole(self._failed_answer)
             return None
-        if end is AttemptEnd.not_run and is_pool_withheld(self._state, self._pool):
+        if end is AttemptEnd.not_run and is_pool_withheld(
+            self._state, self._pool
+        ):
             deferred = self._defer()
             if deferred is not None:
                 return deferred
--- a/wingfall/gateway/calls/engine_group.py
+++ b/wingfall/gateway/calls/engine_group.py
@@ -30,7 +30,9 @@
     if not state.knowledge.shares_estimates(endpoints[0].pool):
         state.reserved_engines.forget(endpoints[0].pool)
         return endpoints
-    group = state.reserved_engines.allowed_engines(state.routes, demand, endpoints)
+    group = state.reserved_engines.allowed_engines(
+        state.routes, demand, endpoints
+    )
     if group is endpoints or any(is_available(each.name) for each in group):
         return group
     return endpoints
--- a/wingfall/gateway/calls/open_endpoints.py
+++ b/wingfall/gateway/calls/open_endpoints.py
@@ -14,8 +14,8 @@
     choose_sample_size,
     fits_shortlist,
     list_available,
-    prefer_available,
     make_shortlist,
+    prefer_available,
 )
 
 if TYPE_CHECKING:
@@ -77,7 +77,9 @@
     return prefer_available(accepting, avoided, is_ejected)
 
 
-def list_open_endpoints(state: GatewayState, call: Call, pool: str) -> list[PoolEndpoint]:
+def list_open_endpoints(
+    state: GatewayState, call: Call, pool: str
+) -> list[PoolEndpoint]:
     """List all endpoints of a pool that a call may be sent to.
 
     :param state: state of the gateway.
--- a/wingfall/gateway/calls/pool_capacity.py
+++ b/wingfall/gateway/calls/pool_capacity.py
@@ -17,7 +17,10 @@
     choose_among,
     describe_endpoint,
 )
-from wingfall.gateway.calls.open_endpoints import describe_demand, list_open_endpoints
+from wingfall.gateway.calls.open_endpoints import (
+    describe_demand,
+    list_open_endpoints,
+)
 from wingfall.gateway.rules.admission.early_refusal import StartEstimate
 
 if TYPE_CHECKING:
@@ -92,7 +95,9 @@
         left_ms=call.deadline_ms - state.clock.now_ms(),
         urgent=call.route.tier <= tiers[0],
         lowest=call.route.tier >= tiers[-1],
-        empty_queue_start_ms=expected_ms(speed.prefill_ms(destination.load.prefill_tokens)),
+        empty_queue_start_ms=expected_ms(
+            speed.prefill_ms(destination.load.prefill_tokens)
+        ),
         stream_ms=_stream_ms(state, call, destination),
         use=relative_use,
         margin=margin,
--- a/wingfall/gateway/calls/withheld_pool.py
+++ b/wingfall/gateway/calls/withheld_pool.py
@@ -94,7 +94,8 @@
     """
     usable = state.knowledge.table.usable(pool)
     return bool(usable) and all(
-        state.gate.is_withheld(each.name, exclude_limited=False) for each in usable
+        state.gate.is_withheld(each.name, exclude_limited=False)
+        for each in usable
     )
 
 
--- a/wingfall/gateway/duties/usage_duty.py
+++ b/wingfall/gateway/duties/usage_duty.py
@@ -101,7 +101,9 @@
     def _find_due(self) -> list[int]:
         return [
             window
-            for window in range(self._counts.next_window, self._counts.current_window)
+            for window in range(
+                self._counts.next_window, self._counts.current_window
+            )
             if self._counts.ms_since_end(window) >= _SETTLE_MS
         ]
 
--- a/wingfall/gateway/endpoints/connection_cache.py
+++ b/wingfall/gateway/endpoints/connection_cache.py
@@ -8,7 +8,10 @@
 
 from typing import TYPE_CHECKING, final
 
-from wingfall.gateway.endpoints.endpoint_connection import EndpointWithheldError, connect
+from wingfall.gateway.endpoints.endpoint_connection import (
+    EndpointWithheldError,
+    connect,
+)
 
 if TYPE_CHECKING:
     from wingfall.clock import Clock
--- a/wingfall/gateway/knowledge/crash_ledger.py
+++ b/wingfall/gateway/knowledge/crash_ledger.py
@@ -119,7 +119,9 @@
 
         :param crash: the crash, with this gateway's suspects.
         """
-        selected = self._select_suspects(crash, crash.suspects, MAX_REPORTED_SUSPECTS)
+        selected = self._select_suspects(
+            crash, crash.suspects, MAX_REPORTED_SUSPECTS
+        )
         added = self.merge_crash(crash.narrowed(selected))
         if added is not None:
             report = self._unreported_crashes.setdefault(crash.endpoint, added)
--- a/wingfall/gateway/knowledge/customer_work.py
+++ b/wingfall/gateway/knowledge/customer_work.py
@@ -208,7 +208,11 @@
         :returns: the work by customer.
         """
         known = self._pools.get(pool)
-        return {} if known is None else dict(known.decayed_work(self._clock.now_ms()))
+        return (
+            {}
+            if known is None
+            else dict(known.decayed_work(self._clock.now_ms()))
+        )
 
     def covers_half_life(self, pool: str) -> bool:
         """Check if work of a pool is recorded for long enough to be compared.
@@ -217,7 +221,9 @@
         :returns: whether work is recorded for at least a half-life.
         """
         known = self._pools.get(pool)
-        return known is not None and known.covers_half_life(self._clock.now_ms())
+        return known is not None and known.covers_half_life(
+            self._clock.now_ms()
+        )
 
     def _add(self, pool: str, customer: str, work: Work) -> None:
         now_ms = self._clock.now_ms()
--- a/wingfall/gateway/knowledge/endpoint_knowledge.py
+++ b/wingfall/gateway/knowledge/endpoint_knowledge.py
@@ -11,13 +11,18 @@
 from wingfall.gateway.knowledge.crash_ledger import CrashLedger
 from wingfall.gateway.knowledge.customer_work import CustomerWork
 from wingfall.gateway.knowledge.endpoint_health import EndpointHealth
-from wingfall.gateway.knowledge.endpoint_incarnations import EndpointIncarnations
+from wingfall.gateway.knowledge.endpoint_incarnations import (
+    EndpointIncarnations,
+)
 from wingfall.gateway.knowledge.endpoint_signals import EndpointSignals
 from wingfall.gateway.knowledge.endpoint_table import EndpointTable
 from wingfall.gateway.knowledge.engine_speeds import EngineSpeeds
 from wingfall.gateway.knowledge.full_gaps import FullGaps
 from wingfall.gateway.knowledge.load import LoadTable
-from wingfall.gateway.knowledge.long_reads import SHORT_PREFILL_TOKENS, LongPrefills
+from wingfall.gateway.knowledge.long_reads import (
+    SHORT_PREFILL_TOKENS,
+    LongPrefills,
+)
 from wingfall.gateway.knowledge.own_rates import OwnRates
 from wingfall.gateway.knowledge.prefix_caches import PrefixCaches
 from wingfall.gateway.knowledge.selected_rates import SelectedRates
@@ -195,7 +200,9 @@
             last; a negative value is the other gateway's estimate.
         """
         known = self.table.find(name)
-        self.speeds.rates.merge_reported(name, known.pool if known else '', rates)
+        self.speeds.rates.merge_reported(
+            name, known.pool if known else '', rates
+        )
 
     def merge_gap_samples(self, name: str, gaps_ms: list[int]) -> None:
         """Merge token gaps of an engine's streams from another gateway.
--- a/wingfall/gateway/knowledge/endpoint_signals.py
+++ b/wingfall/gateway/knowledge/endpoint_signals.py
@@ -163,7 +163,9 @@
         :param reported: leaving signal from the peer.
         """
         if endpoint not in self._leaving:
-            self._add_leaving(endpoint, reported.received_ms, reported.reported_by)
+            self._add_leaving(
+                endpoint, reported.received_ms, reported.reported_by
+            )
 
     def take_unreported(self) -> set[str]:
         """Return and clear the endpoints with unreported signals.
@@ -253,11 +255,17 @@
         )
         return True
 
-    def _add_leaving(self, endpoint: str, received_ms: int, reported_by: str) -> None:
-        leaving = EndpointLeaving(received_ms=received_ms, reported_by=reported_by)
+    def _add_leaving(
+        self, endpoint: str, received_ms: int, reported_by: str
+    ) -> None:
+        leaving = EndpointLeaving(
+            received_ms=received_ms, reported_by=reported_by
+        )
         _put(self._leaving, endpoint, leaving)
         self._digest = None
-        self._log_signal('An endpoint is leaving.', endpoint, reported_by, received_ms)
+        self._log_signal(
+            'An endpoint is leaving.', endpoint, reported_by, received_ms
+        )
 
     def _mark_unreported(self, endpoint: str) -> None:
         self._unreported.add(endpoint)
--- a/wingfall/gateway/knowledge/engine_speed.py
+++ b/wingfall/gateway/knowledge/engine_speed.py
@@ -87,7 +87,9 @@
         """
         if tokens < MIN_SAMPLE_TOKENS or elapsed_ms <= 0:
             return
-        rate = min(MAX_TOKENS_PER_MS, max(MIN_TOKENS_PER_MS, tokens / elapsed_ms))
+        rate = min(
+            MAX_TOKENS_PER_MS, max(MIN_TOKENS_PER_MS, tokens / elapsed_ms)
+        )
         self._tokens_per_ms += (rate - self._tokens_per_ms) * _RATE_WEIGHT
 
 
--- a/wingfall/gateway/knowledge/shared_rates.py
+++ b/wingfall/gateway/knowledge/shared_rates.py
@@ -49,7 +49,9 @@
         """Median prefill rate of the pool in tokens per millisecond."""
         if self._median is None:
             rates = [each.rate for each in self._windows.values() if each.rate]
-            self._median = statistics.median(rates) if rates else INITIAL_TOKENS_PER_MS
+            self._median = (
+                statistics.median(rates) if rates else INITIAL_TOKENS_PER_MS
+            )
         return self._median
 
     def add(self, engine: str, window: PrefillRateWindow) -> None:
--- a/wingfall/gateway/knowledge/start_estimates.py
+++ b/wingfall/gateway/knowledge/start_estimates.py
@@ -66,7 +66,9 @@
 
     __slots__ = ('_error_ratios', '_get_overhead_ms')
 
-    def __init__(self, *, get_fixed_overhead_ms: FixedOverheadGetter = no_fixed_overhead) -> None:
+    def __init__(
+        self, *, get_fixed_overhead_ms: FixedOverheadGetter = no_fixed_overhead
+    ) -> None:
         """Create estimates without samples.
 
         :param get_fixed_overhead_ms: returns the fixed overhead of a pool.
@@ -130,7 +132,9 @@
 
     __slots__ = ('_factors', '_ratios')
 
-    def __init__(self, *, get_fixed_overhead_ms: FixedOverheadGetter = no_fixed_overhead) -> None:
+    def __init__(
+        self, *, get_fixed_overhead_ms: FixedOverheadGetter = no_fixed_overhead
+    ) -> None:
         """Create estimates without corrections.
 
         :param get_fixed_overhead_ms: returns the fixed overhead of a pool.
@@ -185,7 +189,9 @@
 class StartEstimatesFactory(Protocol):
     """Creates estimates of first events."""
 
-    def __call__(self, *, get_fixed_overhead_ms: FixedOverheadGetter) -> StartEstimates:
+    def __call__(
+        self, *, get_fixed_overhead_ms: FixedOverheadGetter
+    ) -> StartEstimates:
         """Create estimates without samples."""
 
 
--- a/wingfall/gateway/knowledge/usage_counts.py
+++ b/wingfall/gateway/knowledge/usage_counts.py
@@ -68,7 +68,11 @@
 
         A starting gateway knows earlier windows only if peers report them.
         """
-        return self.delivered_window + 1 if self.delivered_window else self._first_window
+        return (
+            self.delivered_window + 1
+            if self.delivered_window
+            else self._first_window
+        )
 
     def ms_since_end(self, window: int) -> int:
         """Return the time since a window ended.
--- a/wingfall/gateway/peers/caches/cache_survey.py
+++ b/wingfall/gateway/peers/caches/cache_survey.py
@@ -20,8 +20,8 @@
 
 from wingfall.clock import MS_PER_S
 from wingfall.gateway.endpoints.endpoint_connection import (
-    BrokenAnswerError,
     AnswerTimeoutError,
+    BrokenAnswerError,
     NotConnectedError,
 )
 from wingfall.log import log_event
@@ -30,10 +30,10 @@
     from collections.abc import Callable, Iterable
 
     from wingfall.clock import Clock
+    from wingfall.gateway.endpoints.connection_cache import ConnectionCache
     from wingfall.gateway.endpoints.endpoint_connection import (
         EndpointConnection,
     )
-    from wingfall.gateway.endpoints.connection_cache import ConnectionCache
     from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
     from wingfall.gateway.model.binding import Binding
     from wingfall.gateway.model.pool_endpoint import PoolEndpoint
@@ -158,7 +158,11 @@
                 allow_reuse=False,
             )
             answer = self._send_request(engine, connection)
-        except (NotConnectedError, BrokenAnswerError, AnswerTimeoutError) as error:
+        except (
+            NotConnectedError,
+            BrokenAnswerError,
+            AnswerTimeoutError,
+        ) as error:
             if connection is not None:
                 connection.close()
             return Failure(f'{type(error).__name__} {error}')
--- a/wingfall/gateway/peers/caches/parts_transfer.py
+++ b/wingfall/gateway/peers/caches/parts_transfer.py
@@ -119,7 +119,12 @@
         models = self._caches.models()
         most = fetch.most // max(1, len(models))
         parts = [
-            [name, *map(list, cache.recent_parts(min(most, _MAX_PARTS_PER_ENGINE)))]
+            [
+                name,
+                *map(
+                    list, cache.recent_parts(min(most, _MAX_PARTS_PER_ENGINE))
+                ),
+            ]
             for name, cache in models
         ]
         session.connection.send(PartsPage(parts=parts))
--- a/wingfall/gateway/peers/duty_exchange.py
+++ b/wingfall/gateway/peers/duty_exchange.py
@@ -100,7 +100,9 @@
         for session in sessions:
             entries: list[Any] = []
             if session in recipients:
-                entries = self._counts.changes_since(session.counts_sent_revision)
+                entries = self._counts.changes_since(
+                    session.counts_sent_revision
+                )
                 session.counts_sent_revision = self._counts.revision
             if entries or reports_to_all:
                 yield session, self._encode(entries)
--- a/wingfall/gateway/peers/gateway_peers.py
+++ b/wingfall/gateway/peers/gateway_peers.py
@@ -15,7 +15,10 @@
 
 from wingfall.clock import MS_PER_S
 from wingfall.errors import WireError
-from wingfall.gateway.peers.heartbeat_schedule import TICK_MS, silence_timeout_ms
+from wingfall.gateway.peers.heartbeat_schedule import (
+    TICK_MS,
+    silence_timeout_ms,
+)
 from wingfall.gateway.peers.heartbeats import Heartbeats, UpdateKind
 from wingfall.gateway.peers.objects.object_exchange import ObjectExchange
 from wingfall.gateway.peers.peer_addresses import PeerAddresses
--- a/wingfall/gateway/peers/heartbeat_schedule.py
+++ b/wingfall/gateway/peers/heartbeat_schedule.py
@@ -49,7 +49,9 @@
     :param peers: number of peers to which that peer sends.
     :returns: the time in milliseconds.
     """
-    return max(_MIN_SILENCE_MS, heartbeat_interval_ms(peers) * _MIN_SILENCE_INTERVALS)
+    return max(
+        _MIN_SILENCE_MS, heartbeat_interval_ms(peers) * _MIN_SILENCE_INTERVALS
+    )
 
 
 def max_seen_age_ms(peers: int) -> int:
@@ -58,7 +60,9 @@
     :param peers: number of peers to which that peer sends.
     :returns: the time in milliseconds.
     """
-    return int(max(_WHOLE_INTERVAL_MS, heartbeat_interval_ms(peers)) * _LATE_FACTOR)
+    return int(
+        max(_WHOLE_INTERVAL_MS, heartbeat_interval_ms(peers)) * _LATE_FACTOR
+    )
 
 
 @final
@@ -86,7 +90,9 @@
         :param peers: number of peers that receive any heartbeat.
         """
         self._interval_ms = heartbeat_interval_ms(near)
-        self._whole_interval_ms = max(_WHOLE_INTERVAL_MS, heartbeat_interval_ms(peers))
+        self._whole_interval_ms = max(
+            _WHOLE_INTERVAL_MS, heartbeat_interval_ms(peers)
+        )
 
     def due(
         self,
--- a/wingfall/gateway/peers/heartbeat_writer.py
+++ b/wingfall/gateway/peers/heartbeat_writer.py
@@ -16,9 +16,9 @@
 
     from wingfall.gateway.peers.caches.parts_transfer import PartsTransfer
     from wingfall.gateway.peers.loads.load_exchange import LoadExchange
-    from wingfall.gateway.peers.update_exchange import UpdateExchange
     from wingfall.gateway.peers.objects.object_exchange import ObjectExchange
     from wingfall.gateway.peers.peer_session import PeerSession
+    from wingfall.gateway.peers.update_exchange import UpdateExchange
 
 
 @final
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -16,9 +16,9 @@
 from wingfall.gateway.peers.loads.load_entries import Activity
 from wingfall.gateway.peers.loads.load_exchange import LoadExchange
 from wingfall.gateway.peers.update_exchange import (
-    UpdateKind,
     PeerUpdates,
     UpdateExchange,
+    UpdateKind,
 )
 from wingfall.wire.codec import encode
 from wingfall.wire.gateway_messages import GatewayHeartbeat, ZoneLoads
@@ -234,7 +234,9 @@
         """
         if self._duties is None:
             return
-        for session, entries in self._duties.encode_due(sessions, at_once=at_once):
+        for session, entries in self._duties.encode_due(
+            sessions, at_once=at_once
+        ):
             heartbeat = self._writer.write(
                 leaving=self._is_stopping(), whole=False, duties=entries
             )
--- a/wingfall/gateway/peers/loads/load_entries.py
+++ b/wingfall/gateway/peers/loads/load_entries.py
@@ -146,7 +146,9 @@
     # Ignores fields that later versions append.
     for pool, customer, asked, given, *_newer_fields in activity.work:
         if asked >= 0 and given >= 0:
-            knowledge.customer_work.merge_from_peer(pool, customer, asked, given)
+            knowledge.customer_work.merge_from_peer(
+                pool, customer, asked, given
+            )
 
 
 def without_estimates(readings: Iterable[list[Any]]) -> list[list[Any]]:
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -13,12 +13,12 @@
 from wingfall.gateway.peers.heartbeat_schedule import max_seen_age_ms
 from wingfall.gateway.peers.loads.load_entries import (
     Activity,
-    note_activity,
-    without_estimates,
     decode_loads,
     encode_loads,
     encode_outcomes,
     encode_sent_prompt,
+    note_activity,
+    without_estimates,
 )
 from wingfall.gateway.peers.loads.zone_relay import ZoneRelay
 from wingfall.log import log_event
@@ -74,7 +74,9 @@
         )
         self._zone_seen_ms: dict[str, int] = {}
 
-    def own_zone_peers(self, sessions: Iterable[PeerSession]) -> list[PeerSession]:
+    def own_zone_peers(
+        self, sessions: Iterable[PeerSession]
+    ) -> list[PeerSession]:
         """Return the peers of the own availability zone.
 
         :param sessions: sessions with the connected peers.
--- a/wingfall/gateway/peers/objects/object_exchange.py
+++ b/wingfall/gateway/peers/objects/object_exchange.py
@@ -12,9 +12,9 @@
 from wingfall.gateway.peers.objects.object_fetch import ObjectFetch
 from wingfall.gateway.peers.objects.object_transfer import (
     OutgoingTransfer,
-    pack_objects,
     decode_objects,
     encode_spec,
+    pack_objects,
 )
 from wingfall.log import log_event
 from wingfall.supervisor import Backoff
@@ -92,7 +92,9 @@
             kind: replica.revision for kind, replica in self._replicas.items()
         }
 
-    def check_revision(self, session: PeerSession, kind: str, revision: int) -> None:
+    def check_revision(
+        self, session: PeerSession, kind: str, revision: int
+    ) -> None:
         """Fetch objects if a peer has been ahead for longer than the delay.
 
         :param session: session with the peer.
--- a/wingfall/gateway/peers/objects/object_transfer.py
+++ b/wingfall/gateway/peers/objects/object_transfer.py
@@ -114,7 +114,9 @@
     :param objects: the objects, oldest first.
     :returns: the compressed bytes.
     """
-    entries = [[each.name, each.revision, encode_spec(each)] for each in objects]
+    entries = [
+        [each.name, each.revision, encode_spec(each)] for each in objects
+    ]
     return zlib.compress(msgpack.packb(entries), _ZLIB_LEVEL)
 
 
--- a/wingfall/gateway/peers/signal_exchange.py
+++ b/wingfall/gateway/peers/signal_exchange.py
@@ -66,7 +66,9 @@
         """
         self._clock = clock
         self._signals = signals
-        self._anti_entropy = AntiEntropy(clock=clock, state=signals.recent_digest)
+        self._anti_entropy = AntiEntropy(
+            clock=clock, state=signals.recent_digest
+        )
 
     @property
     def recent_digest(self) -> int:
@@ -126,7 +128,9 @@
         for endpoint, *encoded in updates.limits:
             self._signals.merge_limit(endpoint, _decode_limit(encoded, now_ms))
         for endpoint, age_ms, reported_by in updates.leavings:
-            leaving = EndpointLeaving(received_ms=now_ms - age_ms, reported_by=reported_by)
+            leaving = EndpointLeaving(
+                received_ms=now_ms - age_ms, reported_by=reported_by
+            )
             self._signals.merge_leaving(endpoint, leaving)
         self._anti_entropy.note_state(self._signals.recent_digest)
 
@@ -141,7 +145,11 @@
                 if name in limits
             ],
             leavings=[
-                [name, now_ms - leaving[name].received_ms, leaving[name].reported_by]
+                [
+                    name,
+                    now_ms - leaving[name].received_ms,
+                    leaving[name].reported_by,
+                ]
                 for name in names
                 if name in leaving
             ],
--- a/wingfall/gateway/peers/watch_duty.py
+++ b/wingfall/gateway/peers/watch_duty.py
@@ -38,7 +38,9 @@
         # Since when too few watchers have preceded this gateway.
         self._too_few_since_ms: int | None = None
 
-    def should_watch(self, preceding: Collection[PeerSession], now_ms: int) -> bool:
+    def should_watch(
+        self, preceding: Collection[PeerSession], now_ms: int
+    ) -> bool:
         """Check if this gateway shall watch the store.
 
         :param preceding: live peers that precede this gateway in the order.
--- a/wingfall/gateway/rules/admission/deferred_calls.py
+++ b/wingfall/gateway/rules/admission/deferred_calls.py
@@ -67,7 +67,9 @@
             if reserved_tier < tier
         )
 
-    def defer(self, pool: str, tier: int, slots: AdmissionSlots, now_ms: int) -> int:
+    def defer(
+        self, pool: str, tier: int, slots: AdmissionSlots, now_ms: int
+    ) -> int:
         """Defer a call and assign its retry time.
 
         :param pool: name of its pool.
--- a/wingfall/gateway/rules/admission/early_refusal.py
+++ b/wingfall/gateway/rules/admission/early_refusal.py
@@ -207,7 +207,8 @@
         # No prompt is refused in favor of a lower tier, whatever its customer.
         bound_ms = max(bound_ms, estimate.target_ms / estimate.margin)
     bound_ms = max(
-        bound_ms, min(tier_bound_ms, estimate.empty_queue_start_ms + _MIN_QUEUED_WORK_MS)
+        bound_ms,
+        min(tier_bound_ms, estimate.empty_queue_start_ms + _MIN_QUEUED_WORK_MS),
     )
     # A prompt that nothing is queued before starts no sooner when retried.
     return max(bound_ms, estimate.empty_queue_start_ms)
--- a/wingfall/gateway/rules/admission/fair_shares.py
+++ b/wingfall/gateway/rules/admission/fair_shares.py
@@ -136,13 +136,12 @@
         """
         now_ms = self._clock.now_ms()
         shares = self._pools.get(pool)
-        if (
-            shares is None
-            or now_ms - shares.computed_ms >= _SHARES_MAX_AGE_MS
-        ):
+        if shares is None or now_ms - shares.computed_ms >= _SHARES_MAX_AGE_MS:
             work = self._knowledge.customer_work
             shares = PoolShares(
-                work=work.decayed_work(pool) if work.covers_half_life(pool) else {},
+                work=work.decayed_work(pool)
+                if work.covers_half_life(pool)
+                else {},
                 pending_tokens=self._pending_tokens(pool),
                 now_ms=now_ms,
             )
--- a/wingfall/gateway/rules/crashes/crash_evidence.py
+++ b/wingfall/gateway/rules/crashes/crash_evidence.py
@@ -196,7 +196,9 @@
         for suspect in _filter_suspects(suspects, crash, crashes, served_ms):
             served = suspect in served_ms
             needed = _MIN_SERVED_WEIGHT if served else _MIN_WEIGHT
-            evidence = by_suspect.setdefault(suspect, CrashEvidence(min_weight=needed))
+            evidence = by_suspect.setdefault(
+                suspect, CrashEvidence(min_weight=needed)
+            )
             if not (served and evidence.is_concurrent_with(crash)):
                 evidence.add(crash, _crash_weight(suspect, crash))
     return by_suspect
--- a/wingfall/gateway/rules/crashes/request_blocks.py
+++ b/wingfall/gateway/rules/crashes/request_blocks.py
@@ -10,7 +10,10 @@
 import hashlib
 from typing import TYPE_CHECKING, Final, final
 
-from wingfall.gateway.rules.crashes.crash_evidence import CrashEvidence, find_causes
+from wingfall.gateway.rules.crashes.crash_evidence import (
+    CrashEvidence,
+    find_causes,
+)
 from wingfall.log import log_event
 
 if TYPE_CHECKING:
@@ -156,7 +159,9 @@
 
     def _is_conclusive(self, evidence: CrashEvidence) -> bool:
         # Gateways lost before this one started are not known here.
-        return evidence.is_certain and evidence.identified_ms >= self._started_ms
+        return (
+            evidence.is_certain and evidence.identified_ms >= self._started_ms
+        )
 
     def _trial_wait_ms(
         self, fingerprint: Fingerprint, evidence: CrashEvidence
@@ -164,7 +169,9 @@
         if evidence.excess_crashes >= len(_TRIAL_DELAYS_MS):
             return None
         wait_ms = _TRIAL_DELAYS_MS[evidence.excess_crashes]
-        last_trial_ms = self._last_trial_ms.get(fingerprint, evidence.last_crash_ms)
+        last_trial_ms = self._last_trial_ms.get(
+            fingerprint, evidence.last_crash_ms
+        )
         since_ms = max(last_trial_ms, evidence.last_crash_ms)
         remaining_ms = since_ms + wait_ms - self._clock.now_ms()
         if remaining_ms > 0:
--- a/wingfall/gateway/rules/placement/endpoint_choice.py
+++ b/wingfall/gateway/rules/placement/endpoint_choice.py
@@ -86,7 +86,9 @@
     return late
 
 
-def late_start_probability(demand: Demand, candidate: Candidate, uncached: int) -> float:
+def late_start_probability(
+    demand: Demand, candidate: Candidate, uncached: int
+) -> float:
     """Estimate the probability of a late first event at an engine.
 
     :param demand: the request.
@@ -114,8 +116,14 @@
     cost += candidate.copied_tokens * _COPIED_WEIGHT
     cost += candidate.prefill_tokens + candidate.unreported_tokens
     cost += candidate.running * _RUNNING_COST_TOKENS
-    cost += expected_late_streams(demand, candidate, uncached) * _LATE_GAP_COST_TOKENS
-    cost += late_start_probability(demand, candidate, uncached) * _LATE_START_COST_TOKENS
+    cost += (
+        expected_late_streams(demand, candidate, uncached)
+        * _LATE_GAP_COST_TOKENS
+    )
+    cost += (
+        late_start_probability(demand, candidate, uncached)
+        * _LATE_START_COST_TOKENS
+    )
     cost += candidate.total_cached_tokens * _CACHED_TOKEN_WEIGHT
     cost += candidate.failure_rate * _FAILING_COST_TOKENS
     if candidate.remote:
--- a/wingfall/gateway/rules/placement/engine_classes.py
+++ b/wingfall/gateway/rules/placement/engine_classes.py
@@ -153,7 +153,9 @@
     return quantile(gaps, _IN_BOUND_FRACTION)
 
 
-def count_fit_classes(gaps: Mapping[int, float], gap_ms: int, previous: int) -> int:
+def count_fit_classes(
+    gaps: Mapping[int, float], gap_ms: int, previous: int
+) -> int:
     """Count the classes that keep a token gap bound during prefills.
 
     :param gaps: token gap during prefills in milliseconds by class.
--- a/wingfall/gateway/rules/placement/engine_groups.py
+++ b/wingfall/gateway/rules/placement/engine_groups.py
@@ -13,8 +13,8 @@
 
 from wingfall.gateway.rules.placement.engine_classes import (
     classify_engines,
-    estimate_class_gaps,
     count_fit_classes,
+    estimate_class_gaps,
 )
 from wingfall.registry import Registry
 
@@ -137,7 +137,9 @@
 
 
 EngineGroupPolicy = Callable[['PoolState'], 'EngineGrouping | None']
-engine_groups: Final[Registry[EngineGroupPolicy]] = Registry(kind='engine groups')
+engine_groups: Final[Registry[EngineGroupPolicy]] = Registry(
+    kind='engine groups'
+)
 
 
 @engine_groups.register('none')
--- a/wingfall/gateway/rules/placement/pool_groups.py
+++ b/wingfall/gateway/rules/placement/pool_groups.py
@@ -20,8 +20,8 @@
     from wingfall.gateway.model.routes import Routes
     from wingfall.gateway.rules.placement.candidate import Demand
     from wingfall.gateway.rules.placement.engine_groups import (
-        EngineGroupPolicy,
         EngineGrouping,
+        EngineGroupPolicy,
     )
     from wingfall.metrics import Metrics
 
--- a/wingfall/gateway/rules/placement/stream_backup.py
+++ b/wingfall/gateway/rules/placement/stream_backup.py
@@ -83,7 +83,9 @@
     :param place: rule that chooses among engines.
     :returns: the backup engine, None for no backup.
     """
-    healthy = [each for each in candidates if each.failure_rate < MAX_FAILURE_RATE]
+    healthy = [
+        each for each in candidates if each.failure_rate < MAX_FAILURE_RATE
+    ]
     length = RunLength(
         prompt_tokens=demand.tokens,
         output_tokens=demand.output_tokens,
--- a/wingfall/gateway/state.py
+++ b/wingfall/gateway/state.py
@@ -7,14 +7,14 @@
 
 from typing import TYPE_CHECKING, final
 
-from wingfall.gateway.rules.admission.fair_shares import FairShares
 from wingfall.gateway.rules.admission.deferred_calls import DeferredCalls
+from wingfall.gateway.rules.admission.fair_shares import FairShares
 from wingfall.gateway.rules.placement.reserved_engines import ReservedEngines
 
 if TYPE_CHECKING:
     from wingfall.clock import Clock
-    from wingfall.gateway.endpoints.crash_detector import CrashDetector
     from wingfall.gateway.endpoints.connection_cache import ConnectionCache
+    from wingfall.gateway.endpoints.crash_detector import CrashDetector
     from wingfall.gateway.endpoints.sending_gate import SendingGate
     from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
     from wingfall.gateway.knowledge.usage_counts import UsageCounts
