--- a/wingfall/gateway/calls/destination.py
+++ b/wingfall/gateway/calls/destination.py
@@ -31,7 +31,7 @@
 # Prompts that peers sent in the last tenths of a second are not reported yet,
 # so gateways that rate the same engine best would all send to it at once. A
 # random estimate for each engine, up to a long prefill, spreads their choices.
-_MAX_UNREPORTED_TOKENS: Final = 5000
+_UNREPORTED_TOKENS: Final = 5000
 
 
 @final
@@ -171,7 +171,7 @@
         streams=load.streams,
         speed=knowledge.speed(endpoint.name),
         long_reads=knowledge.long_reads.tokens(endpoint.name),
-        unreported_tokens=random.uniform(0, _MAX_UNREPORTED_TOKENS),  # noqa: S311
+        unreported_tokens=random.uniform(0, _UNREPORTED_TOKENS),  # noqa: S311
         failure_rate=knowledge.health.failure_rate(endpoint.name),
         safe_gap_ms=state.reserved_engines.safe_gap_ms(
             endpoint.pool, endpoint.name
