--- a/wingfall/gateway/callers/caller_connection.py
+++ b/wingfall/gateway/callers/caller_connection.py
@@ -122,7 +122,7 @@
         age_ms = self._state.clock.now_ms() - self._idle_since_ms
         if (
             self.is_busy
-            or self._reader.has_received
+            or self._reader.received
             or age_ms < _FIRST_REQUEST_GRACE_MS
         ):
             return
--- a/wingfall/gateway/callers/request_reader.py
+++ b/wingfall/gateway/callers/request_reader.py
@@ -41,7 +41,7 @@
         '_limits',
         '_socket',
         '_write',
-        'has_received',
+        'received',
         'is_shut_down',
     )
 
@@ -68,7 +68,7 @@
         self._limits = limits
         self._write = write
         # Whether bytes of the next request have been received.
-        self.has_received = False
+        self.received = False
         # Whether the gateway has shut the socket down; what is read from then
         # on is no request.
         self.is_shut_down = False
@@ -76,7 +76,7 @@
     def prepare_next_request(self) -> None:
         """Reset the protocol state for the next request."""
         self._http.start_next_cycle()
-        self.has_received = bool(self._http.trailing_data[0])
+        self.received = bool(self._http.trailing_data[0])
 
     def read_request(self) -> h11.Request | None:
         """Read the head of a request.
@@ -93,7 +93,7 @@
                 return event
             if event is not h11.NEED_DATA:
                 return None
-            if not self.has_received:
+            if not self.received:
                 self._wait_for_first_byte(started_ms)
                 started_ms = self._clock.now_ms()
             elif not self._read(started_ms + self._limits().head_ms):
@@ -123,7 +123,7 @@
                 return body.finish()
 
     def _wait_for_first_byte(self, started_ms: int) -> None:
-        while not self.has_received:
+        while not self.received:
             # The timeout may change while the connection is idle.
             idle_ms = self._limits().idle_ms * _IDLE_TIMEOUT_RATIO
             self._read(started_ms + int(idle_ms))
@@ -137,6 +137,6 @@
             received = self._socket.recv(_MAX_READ_BYTES)
         except TimeoutError:
             return self._read(deadline_ms)
-        self.has_received = True
+        self.received = True
         self._http.receive_data(received)
         return bool(received)
