--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -92,7 +92,7 @@
     assert world.platform.acts[-1][1] == holder.name
     # What peers tell once they hear that it is the holder.
     follower.counts.merge_reported(
-        'peer/1', [(follower.counts.current_window - 1, 'x', 7)]
+        'peer/1', [(follower.counts.window - 1, 'x', 7)]
     )
     world.clock.advance(1500)
     follower.step()
--- a/wingfall/gateway/duties/assembly.py
+++ b/wingfall/gateway/duties/assembly.py
@@ -128,7 +128,7 @@
             'holder': self.lease.record.name,
             'token': self.lease.fence.token,
             'delivered_window': self.counts.delivered_window,
-            'window': self.counts.current_window,
+            'window': self.counts.window,
         }
 
     def _note_jump(self, jump_ms: int) -> None:
--- a/wingfall/gateway/duties/usage_duty.py
+++ b/wingfall/gateway/duties/usage_duty.py
@@ -102,7 +102,7 @@
         return [
             window
             for window in range(
-                self._counts.next_window, self._counts.current_window
+                self._counts.next_window, self._counts.window
             )
             if self._counts.ms_since_end(window) >= _SETTLE_MS
         ]
@@ -124,7 +124,7 @@
             return False
         if not self._standing.replaces(record, unchanged_ms, decided=decided):
             return False
-        return self._lease.take(decided=self._counts.current_window - 1)
+        return self._lease.take(decided=self._counts.window - 1)
 
     def _report(self, due: list[int]) -> None:
         if not self._lease.ready:
--- a/wingfall/gateway/knowledge/usage_counts.py
+++ b/wingfall/gateway/knowledge/usage_counts.py
@@ -55,10 +55,10 @@
         self.revision = 0
         # The last window up to which all are reported or expired; 0 if unknown.
         self.delivered_window = 0
-        self._first_window = self.current_window
+        self._first_window = self.window
 
     @property
-    def current_window(self) -> int:
+    def window(self) -> int:
         """Number of the current window."""
         return self._true_time.now_ms() // self._window_ms
 
@@ -88,7 +88,7 @@
         :param window: the last window that needs no report; ignored if it has
             not ended, since a wrong time of day must not suppress reports.
         """
-        if window < self.current_window:
+        if window < self.window:
             self.delivered_window = max(self.delivered_window, window)
 
     def note(self, customer: str, clock_ms: int) -> None:
@@ -142,7 +142,7 @@
 
     def forget_old(self) -> None:
         """Remove windows that are too old to be reported."""
-        oldest = self.current_window - _MAX_WINDOWS
+        oldest = self.window - _MAX_WINDOWS
         for known in (self._own, self._changed_at, *self._others.values()):
             expired = {each for each in known if each[0] < oldest}
             for key in expired:
