--- a/tests/exchange_site.py
+++ b/tests/exchange_site.py
@@ -195,7 +195,7 @@
         ):
             return
         one.last_report_ms = now_ms
-        reach = one.exchange.count_reached_zones(one.sessions.values())
+        reach = one.exchange.reach(one.sessions.values())
         for each in others:
             session = each.sessions[one.name]
             session.last_seen_ms = now_ms
--- a/wingfall/gateway/peers/heartbeat_writer.py
+++ b/wingfall/gateway/peers/heartbeat_writer.py
@@ -90,7 +90,7 @@
             whole=whole,
             watching=self._is_watching(),
             knows_caches=self._transfer.knows_caches,
-            reach=self._loads.count_reached_zones(self._sessions),
+            reach=self._loads.reach(self._sessions),
             crashes=updates.crashes.crashes,
             served=updates.crashes.served,
             crash_digest=self._updates.crash_digest,
--- a/wingfall/gateway/peers/loads/load_exchange.py
+++ b/wingfall/gateway/peers/loads/load_exchange.py
@@ -84,7 +84,7 @@
         """
         return [each for each in sessions if each.zone == self._zone]
 
-    def count_reached_zones(self, sessions: Collection[PeerSession]) -> int:
+    def reach(self, sessions: Collection[PeerSession]) -> int:
         """Count the other zones from which this gateway receives heartbeats.
 
         :param sessions: sessions with the connected peers.
@@ -211,7 +211,7 @@
         :param whole: whether to send all loads, not only changes.
         """
         self._remove_silent_zones(self._clock.now_ms())
-        reach = self.count_reached_zones(sessions)
+        reach = self.reach(sessions)
         self._relay.send_if_relay(sessions, reach=reach, whole=whole)
 
     def _remove_silent_zones(self, now_ms: int) -> None:
