--- a/tests/gateway_site.py
+++ b/tests/gateway_site.py
@@ -256,7 +256,7 @@
         """
         return [gateway.peer_address for gateway in self.gateways]
 
-    def connect_caller(self, number: int = 0) -> CallerStandIn:
+    def caller(self, number: int = 0) -> CallerStandIn:
         """Connect a caller to a gateway.
 
         :param number: index of the gateway.
@@ -271,7 +271,7 @@
         :param options: see :meth:`CallerStandIn.send`.
         :returns: the response.
         """
-        caller = self.connect_caller()
+        caller = self.caller()
         caller.send(target, **options)
         answer = caller.receive()
         caller.close()
--- a/tests/test_caller_connection.py
+++ b/tests/test_caller_connection.py
@@ -58,7 +58,7 @@
         placements._entries, 'least_read', _raise_placement_error
     )
     gateway_site.add_gateway()
-    caller = gateway_site.connect_caller()
+    caller = gateway_site.caller()
     caller.send('/safe/x')
     assert caller.receive().status == 502
     caller.send('/nothing/x')
--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -342,7 +342,7 @@
     """
     for engine in site.servers.values():
         engine.faults = ['cut']
-    caller = site.connect_caller()
+    caller = site.caller()
     caller.send(
         '/oneway/x',
         method='POST',
@@ -394,7 +394,7 @@
     server.faults = ['reset']
     put_entry(gateway_site, 'plain', 'one', FIRST_MS)
     gateway = gateway_site.add_gateway()
-    caller = gateway_site.connect_caller()
+    caller = gateway_site.caller()
     caller.send('/unsafe/x', method='POST', body=b'1')
     wait_until(lambda: gateway_site.servers['one'].runs)
     again = restart(gateway_site, 'one')
--- a/tests/test_gateway_config.py
+++ b/tests/test_gateway_config.py
@@ -118,7 +118,7 @@
     script(gateway_site, status=503)
     second = gateway_site.add_gateway()
     assert second.status()['config'] == gateway_site.config['version']
-    caller = gateway_site.connect_caller(1)
+    caller = gateway_site.caller(1)
     caller.send('/safe/x')
     assert caller.receive().status == 200
 
@@ -143,7 +143,7 @@
             == ['two']
         ),
     )
-    caller = gateway_site.connect_caller(1)
+    caller = gateway_site.caller(1)
     caller.send('/safe/x')
     assert caller.receive().status == 401
 
--- a/tests/test_gateway_requests.py
+++ b/tests/test_gateway_requests.py
@@ -76,7 +76,7 @@
 
 
 def test_chunked_body_reaches_the_endpoint_whole(plain_site: GatewaySite):
-    caller = plain_site.connect_caller()
+    caller = plain_site.caller()
     caller.sock.sendall(
         b'POST /unsafe/x HTTP/1.1\r\nHost: site.example\r\n'
         b'Authorization: Token key-of-oslo\r\nX-Attempt-Id: r1\r\n'
@@ -192,7 +192,7 @@
 def test_run_is_cancelled_if_the_caller_disconnects(plain_site: GatewaySite):
     for server in plain_site.servers.values():
         server.delay_ms = 60_000
-    caller = plain_site.connect_caller()
+    caller = plain_site.caller()
     caller.send('/patient/x', method='POST')
     wait_until(lambda: all_run_ids(plain_site))
     caller.close()
@@ -233,7 +233,7 @@
 
 
 def test_head_over_the_limit_is_refused(plain_site: GatewaySite):
-    caller = plain_site.connect_caller()
+    caller = plain_site.caller()
     caller.sock.sendall(b'GET /safe/x HTTP/1.1\r\nX: %s' % (b'x' * 20_000))
     assert b' 431 ' in caller.sock.recv(100)
     assert plain_site.ask('/safe/x').status == 200
@@ -244,7 +244,7 @@
     plain_site: GatewaySite,
     garbage: bytes,
 ):
-    caller = plain_site.connect_caller()
+    caller = plain_site.caller()
     caller.sock.sendall(b'%s\r\n\r\n' % garbage)
     caller.sock.recv(1000)
     gateway = plain_site.gateways[0]
@@ -256,7 +256,7 @@
 
 
 def test_connection_is_reused_for_the_next_request(plain_site: GatewaySite):
-    caller = plain_site.connect_caller()
+    caller = plain_site.caller()
     for number in range(3):
         caller.send('/safe/x', X_Attempt_Id=f'r{number}')
         assert f' r{number} '.encode() in caller.receive().body
@@ -302,7 +302,7 @@
 def test_planned_stop_completes_running_requests(plain_site: GatewaySite):
     for server in plain_site.servers.values():
         server.delay_ms = 400
-    reused, fresh = plain_site.connect_caller(), plain_site.connect_caller()
+    reused, fresh = plain_site.caller(), plain_site.caller()
     reused.send('/safe/x', X_Attempt_Id='r1')
     wait_until(lambda: all_run_ids(plain_site))
     gateway = plain_site.gateways[0]
@@ -320,7 +320,7 @@
 def test_planned_stop_waits_for_a_long_run(plain_site: GatewaySite):
     for server in plain_site.servers.values():
         server.delay_ms = 3500
-    caller = plain_site.connect_caller()
+    caller = plain_site.caller()
     caller.send('/patient/x', method='POST')
     wait_until(lambda: all_run_ids(plain_site))
     gateway = plain_site.gateways[0]
@@ -333,7 +333,7 @@
     plain_site: GatewaySite,
 ):
     gateway = plain_site.gateways[0]
-    idle, late = plain_site.connect_caller(), plain_site.connect_caller()
+    idle, late = plain_site.caller(), plain_site.caller()
     for caller in (idle, late):
         caller.send('/safe/x')
         caller.receive()
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -44,7 +44,7 @@
 def test_events_are_forwarded_as_they_arrive(engine_site: GatewaySite):
     for server in engine_site.servers.values():
         server.event_ms = 150
-    caller = engine_site.connect_caller()
+    caller = engine_site.caller()
     caller.send('/stream/x', method='POST', **PROMPT)
     received = b''
     while b'id: 1\n' not in received:
@@ -130,7 +130,7 @@
         each for each in engine_site.servers.values() if each.runs
     ]
     wait_until(lambda: caches_part(second, caching_engine.name, 'aa'))
-    caller = engine_site.connect_caller(1)
+    caller = engine_site.caller(1)
     caller.send('/stream/x', method='POST', **prompt)
     assert caller.receive().whole
     assert len(caching_engine.runs) == 2
@@ -171,7 +171,7 @@
     keeper.delay_ms = 1500
     gateway = gateway_site.add_gateway()
     wait_until(lambda: caches_part(gateway, 'keeper', 'aa'))
-    caller = gateway_site.connect_caller()
+    caller = gateway_site.caller()
     caller.send('/stream/x', X_Prompt_Prefix='aa:5000,cc:35000')
     wait_until(keeper.run_ids)
     gateway_site.ask('/stream/x', X_Prompt_Prefix='aa:5000,bb:10')
@@ -190,7 +190,7 @@
     engine = gateway_site.add_server('e1', 'engines')
     engine.delay_ms = 1500
     gateway_site.add_gateway()
-    caller = gateway_site.connect_caller()
+    caller = gateway_site.caller()
     caller.send('/urgent/x', X_Prompt_Prefix='aa:60000')
     wait_until(engine.run_ids)
     assert gateway_site.ask('/stream/x', **PROMPT).status == 503
--- a/tests/test_shared_read.py
+++ b/tests/test_shared_read.py
@@ -43,7 +43,7 @@
     gateway_site.add_gateway()
     engine.delay_ms = 150
     engine.event_ms = 100
-    callers = [gateway_site.connect_caller() for _index in range(2)]
+    callers = [gateway_site.caller() for _index in range(2)]
     callers[0].send('/stream/x', X_Attempt_Id='first', **HEADERS)
     wait_until(engine.run_ids)
     callers[1].send('/stream/x', X_Attempt_Id='second', **HEADERS)
--- a/tests/test_stream_continuation.py
+++ b/tests/test_stream_continuation.py
@@ -128,7 +128,7 @@
     inject_faults(backup_site, 'crash')
     for server in backup_site.servers.values():
         server.event_ms = 150
-    caller = backup_site.connect_caller()
+    caller = backup_site.caller()
     caller.send('/oneway/x', method='POST', **LONG_ANSWER)
     wait_until(lambda: any(each.runs for each in backup_site.servers.values()))
     (first,) = [each for each in backup_site.servers.values() if each.runs]
@@ -154,7 +154,7 @@
     inject_faults(backup_site, 'crash')
     for server in backup_site.servers.values():
         server.event_ms = 300
-    caller = backup_site.connect_caller()
+    caller = backup_site.caller()
     caller.send('/oneway/x', method='POST', **LONG_ANSWER)
     wait_until(lambda: any(each.runs for each in backup_site.servers.values()))
     _first, other = sort_engines(backup_site)
