--- a/tests/test_parts_transfer.py
+++ b/tests/test_parts_transfer.py
@@ -12,7 +12,7 @@
 from wingfall.clock import ManualClock
 from wingfall.gateway.knowledge.prefix_caches import PrefixCaches
 from wingfall.gateway.model.prompt import PromptPart
-from wingfall.gateway.peers.caches.cache_survey import choose_engines
+from wingfall.gateway.peers.caches.memory_survey import choose_engines
 from wingfall.gateway.peers.caches.parts_transfer import PartsTransfer
 from wingfall.wire.transfer_messages import PartsFetch
 
@@ -160,7 +160,7 @@
     names = [f'gateway-{number}' for number in range(100)]
     engines = [SimpleNamespace(name=f'e{number}') for number in range(2000)]
     monkeypatch.setattr(
-        'wingfall.gateway.peers.caches.cache_survey.hashlib',
+        'wingfall.gateway.peers.caches.memory_survey.hashlib',
         SimpleNamespace(sha256=record_hash),
     )
     assert choose_engines(names[0], names, engines)
--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -24,7 +24,7 @@
 )
 from wingfall.gateway.duties.assembly import GatewayDuties
 from wingfall.gateway.knowledge.start_figures import set_start_errors
-from wingfall.gateway.peers.caches.cache_survey import CacheSurvey
+from wingfall.gateway.peers.caches.memory_survey import CacheSurvey
 from wingfall.gateway.peers.caches.parts_transfer import PartsTransfer
 from wingfall.gateway.peers.duty_exchange import DutyExchange
 from wingfall.gateway.peers.gateway_peers import GatewayPeers
