--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -13,7 +13,7 @@
 from wingfall.clock import MS_PER_S
 from wingfall.gateway.model.held import Held
 from wingfall.gateway.rules.pacing.pace import TokenBucket
-from wingfall.gateway.rules.pacing.ramp_up import (
+from wingfall.gateway.rules.pacing.rest_return import (
     RAMP_UP_RATE,
     RampUp,
     compute_jitter,
