--- a/wingfall/gateway/duties/usage_duty.py
+++ b/wingfall/gateway/duties/usage_duty.py
@@ -101,9 +101,7 @@
     def _find_due(self) -> list[int]:
         return [
             window
-            for window in range(
-                self._counts.next_window, self._counts.window
-            )
+            for window in range(self._counts.next_window, self._counts.window)
             if self._counts.ms_since_end(window) >= _SETTLE_MS
         ]
 
--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -13,12 +13,12 @@
 from wingfall.clock import MS_PER_S
 from wingfall.gateway.model.held import Held
 from wingfall.gateway.rules.pacing.pace import TokenBucket
+from wingfall.gateway.rules.pacing.rate_share import ShareTerms
 from wingfall.gateway.rules.pacing.rest_return import (
     RAMP_UP_RATE,
     RampUp,
     compute_jitter,
 )
-from wingfall.gateway.rules.pacing.rate_share import ShareTerms
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
