--- a/tests/peer_standin.py
+++ b/tests/peer_standin.py
@@ -1,4 +1,4 @@
-"""A gateway that only answers what its peers ask, behind a slow link."""
+"""A peer behind a slow link that only answers requests of gateways."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from wingfall.errors import WireError
 from wingfall.gateway.configuration.replica import ROUTES_KIND, ObjectReplica
 from wingfall.gateway.model.object_store import StoredObject, StoreReading
-from wingfall.gateway.peers.heartbeat_schedule import silence_ms
+from wingfall.gateway.peers.heartbeat_schedule import silence_timeout_ms
 from wingfall.gateway.peers.objects.object_exchange import ObjectExchange
 from wingfall.gateway.peers.peer_session import PeerSession
 from wingfall.wire.connection import Connection
@@ -22,19 +22,19 @@
 
 HOST: Final = '127.0.0.1'
 ZONE: Final = 'osl-a'
-_HEARTBEAT_S: Final = 0.1
+_HEARTBEAT_INTERVAL_S: Final = 0.1
 _SEND_BUFFER_BYTES: Final = 32_768
 
 
 @final
 class PeerStandIn:
-    """A peer with a copy of the configuration, reached over one link only."""
+    """A peer with a copy of the configuration, reachable over one link."""
 
     def __init__(self, *, name: str, bandwidth: Bandwidth) -> None:
-        """Start to listen.
+        """Start to accept connections.
 
-        :param name: its name.
-        :param bandwidth: bounds what it sends, together with others.
+        :param name: name of the peer.
+        :param bandwidth: limit on sent data, shared with other links.
         """
         self._name = name
         self._replica = ObjectReplica(
@@ -46,7 +46,7 @@
             clock=WallClock(),
             zone=ZONE,
         )
-        self.sessions = 0
+        self.session_count = 0
         self._server = StreamServer((HOST, 0), self._accept)
         self._server.start()
         self.link = Link(
@@ -54,18 +54,18 @@
             bandwidth=bandwidth,
         )
 
-    def learn(self, revision: int, spec: dict[str, Any]) -> None:
-        """Read a configuration from the store.
+    def apply_configuration(self, revision: int, spec: dict[str, Any]) -> None:
+        """Apply a configuration as if read from the store.
 
-        :param revision: the store's revision.
-        :param spec: the configuration.
+        :param revision: revision of the store.
+        :param spec: configuration to apply.
         """
         stored = StoredObject(name='main', revision=revision, spec=spec)
         reading = StoreReading(revision=revision, objects=[stored])
         self._replica.apply_changes(reading)
 
     def stop(self) -> None:
-        """End all connections."""
+        """Close the port and the link."""
         self._server.stop(timeout=0)
         self.link.close()
 
@@ -74,15 +74,15 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, size)
         connection = Connection(sock=sock)
         connection.allow_large()
-        connection.set_timeout(silence_ms(1))
+        connection.set_timeout(silence_timeout_ms(1))
         connection.send(self._hello())
-        beats = gevent.spawn(self._beat, connection)
+        heartbeats = gevent.spawn(self._send_heartbeats, connection)
         try:
             self._serve(connection)
         except WireError:
             connection.close()
         finally:
-            beats.kill()
+            heartbeats.kill()
             connection.close()
 
     def _serve(self, connection: Connection) -> None:
@@ -90,11 +90,11 @@
         for message in connection.receive():
             if isinstance(message, GatewayHello):
                 session = PeerSession(hello=message, connection=connection)
-                self.sessions += 1
+                self.session_count += 1
             elif isinstance(message, ObjectsFetch) and session is not None:
-                self._exchange.answer(session, message)
+                self._exchange.send_objects(session, message)
 
-    def _beat(self, connection: Connection) -> None:
+    def _send_heartbeats(self, connection: Connection) -> None:
         while not connection.closed:
             connection.send(
                 GatewayHeartbeat(
@@ -106,7 +106,7 @@
                     watching=True,
                 ),
             )
-            gevent.sleep(_HEARTBEAT_S)
+            gevent.sleep(_HEARTBEAT_INTERVAL_S)
 
     def _hello(self) -> GatewayHello:
         return GatewayHello(
--- a/tests/test_crash_exchange.py
+++ b/tests/test_crash_exchange.py
@@ -1,4 +1,4 @@
-"""How far and how soon gateways hear of crashes."""
+"""Exchange of crashes between gateways."""
 
 from __future__ import annotations
 
@@ -18,26 +18,28 @@
 from wingfall.wire.message import build_message
 
 REQUEST = b'0123456789abcdef'
-SETTLED_MS = 500
+SETTLE_TIME_MS = 500
 
 
 def ledger_of(gateway: GatewayApplication) -> CrashLedger:
-    """Give the crashes that a gateway knows."""
+    """Return the crashes known to a gateway."""
     return gateway._state.knowledge.crashes
 
 
-def crash(endpoint: str, *, at_ms: int, told_by: str = 'g1') -> EndpointCrash:
-    """Describe a crash with one suspect."""
+def crash(
+    endpoint: str, *, at_ms: int, reported_by: str = 'g1'
+) -> EndpointCrash:
+    """Return a crash with one suspect request."""
     return EndpointCrash(
         endpoint=endpoint,
         crashed_ms=at_ms,
-        told_by=told_by,
+        reported_by=reported_by,
         silent=[REQUEST],
     )
 
 
 def heartbeat(crashes: int = 0, suspects: int = 1) -> GatewayHeartbeat:
-    """Make a heartbeat with news of some crashes."""
+    """Return a heartbeat that carries some crashes."""
     silent = [b'%016d' % number for number in range(suspects)]
     return GatewayHeartbeat(
         revisions={},
@@ -50,11 +52,11 @@
             ['i-0123456789', 50, 'front-osl-a-1', silent, []]
             for _crash in range(crashes)
         ],
-        crash_sum=2**63 if crashes else 0,
+        crash_digest=2**63 if crashes else 0,
     )
 
 
-def test_news_reach_gateways_of_all_zones(gateway_site: GatewaySite):
+def test_crashes_are_sent_to_gateways_of_all_zones(gateway_site: GatewaySite):
     gateways = [
         gateway_site.start_gateway(zone=zone)
         for zone in ('osl-a', 'osl-a', 'osl-b', 'osl-c')
@@ -67,11 +69,11 @@
     for other in others:
         (known,) = ledger_of(other).crashes
         assert known.silent == {REQUEST}
-        assert known.told_by == 'g1'
+        assert known.reported_by == 'g1'
         assert abs(known.crashed_ms - now_ms) < 1000
 
 
-def test_gateway_that_starts_hears_all(gateway_site: GatewaySite):
+def test_new_gateway_receives_all_crashes(gateway_site: GatewaySite):
     first = gateway_site.start_gateway()
     now_ms = first._clock.now_ms()
     ledger_of(first).note_crash(crash('e1', at_ms=now_ms - 3_600_000))
@@ -79,20 +81,20 @@
     wait_until(lambda: ledger_of(second).crashes)
 
 
-def test_gateway_that_missed_news_is_told_by_one_that_only_heard(
+def test_missed_crash_is_resent_by_gateway_that_only_received_it(
     gateway_site: GatewaySite,
 ):
     first = gateway_site.start_gateway()
     second = gateway_site.start_gateway()
     wait_until(lambda: second._peers.names)
-    # As if the one that saw it had no session with the other.
-    heard = crash('e1', at_ms=first._clock.now_ms(), told_by='gone')
-    ledger_of(first).take_crash(heard)
+    # The gateway that observed the crash has no session with the second one.
+    received = crash('e1', at_ms=first._clock.now_ms(), reported_by='gone')
+    ledger_of(first).merge_crash(received)
     wait_until(lambda: ledger_of(second).crashes)
 
 
 @pytest.mark.parametrize('planned', [False, True], ids=['lost', 'planned'])
-def test_crash_is_incomplete_if_a_gateway_ends_beside_it_without_a_word(
+def test_crash_is_incomplete_if_a_gateway_is_lost_without_planned_stop(
     gateway_site: GatewaySite, *, planned: bool
 ):
     first = gateway_site.start_gateway()
@@ -110,7 +112,7 @@
     assert known.incomplete is not planned
 
 
-def test_good_answer_is_told(gateway_site: GatewaySite):
+def test_served_request_is_reported(gateway_site: GatewaySite):
     first = gateway_site.start_gateway()
     second = gateway_site.start_gateway()
     wait_until(lambda: second._peers.names)
@@ -121,82 +123,82 @@
 
 
 def session() -> PeerSession:
-    """Give a session with a peer."""
+    """Return a session with a peer."""
     hello = GatewayHello(name='g2', address='', known=[])
     return PeerSession(hello=hello, connection=FakeConnection())
 
 
 @pytest.fixture
 def exchange(clock: ManualClock) -> CrashExchange:
-    """Give the exchange of a gateway that knows one crash."""
+    """Return the exchange of a gateway that knows one crash."""
     ledger = CrashLedger(clock=clock)
     ledger.note_crash(crash('e1', at_ms=clock.now_ms()))
     return CrashExchange(clock=clock, ledger=ledger)
 
 
-def test_peer_that_knows_the_same_is_told_nothing(
+def test_equal_digest_causes_no_resend(
     exchange: CrashExchange, clock: ManualClock
 ):
-    clock.advance(SETTLED_MS)
-    assert exchange.answer(session(), exchange.recent_sum, 1).empty
-    assert not exchange.answer(session(), 0, 1).empty
+    clock.advance(SETTLE_TIME_MS)
+    assert exchange.answer_digest(session(), exchange.recent_digest, 1).is_empty
+    assert not exchange.answer_digest(session(), 0, 1).is_empty
 
 
-def test_peer_of_the_last_version_is_told_nothing_again(
+def test_peer_of_older_version_gets_no_resend(
     exchange: CrashExchange, clock: ManualClock
 ):
-    clock.advance(SETTLED_MS)
-    assert exchange.answer(session(), -1, 1).empty
+    clock.advance(SETTLE_TIME_MS)
+    assert exchange.answer_digest(session(), -1, 1).is_empty
 
 
-def test_news_that_are_on_their_way_are_not_told_again(
+def test_updates_in_transit_are_not_resent(
     exchange: CrashExchange,
 ):
-    assert exchange.answer(session(), 0, 1).empty
+    assert exchange.answer_digest(session(), 0, 1).is_empty
 
 
-def test_peer_without_room_is_not_told_at_each_heartbeat(
+def test_resends_to_one_peer_are_spaced(
     exchange: CrashExchange, clock: ManualClock
 ):
     peer = session()
-    clock.advance(SETTLED_MS)
-    told = []
+    clock.advance(SETTLE_TIME_MS)
+    resends = []
     for _heartbeat in range(100):
-        told.append(not exchange.answer(peer, 0, 1).empty)
+        resends.append(not exchange.answer_digest(peer, 0, 1).is_empty)
         clock.advance(100)
-    assert told.count(True) == 4
+    assert resends.count(True) == 4
 
 
-def test_few_of_many_gateways_tell_again(
+def test_few_of_many_gateways_resend(
     exchange: CrashExchange, clock: ManualClock
 ):
-    clock.advance(SETTLED_MS)
-    # Four are drawn on the average; by chance it may be none.
+    clock.advance(SETTLE_TIME_MS)
+    # Four gateways resend on average; at random, none may.
     rounds = 50
-    telling = [
-        exchange.answer(session(), 0, 297).empty
+    are_empty = [
+        exchange.answer_digest(session(), 0, 297).is_empty
         for _peer in range(297 * rounds)
     ]
-    assert 2 * rounds < telling.count(False) < 6 * rounds
+    assert 2 * rounds < are_empty.count(False) < 6 * rounds
 
 
-def test_last_version_and_this_one_read_each_other():
+def test_older_and_newer_versions_decode_each_other():
     sent = heartbeat(3)
-    # Without crashes, and without all that came after them.
+    # The older version lacks the crashes and all fields after them.
     before = sent.fields()[: 1 + sent.__slots__.index('crashes')]
     read = build_message(before)
-    assert read.crash_sum == -1
+    assert read.crash_digest == -1
     assert not read.crashes
-    # Fields that a program doesn't know are passed over.
+    # Unknown fields are ignored.
     more = build_message([*sent.fields(), 'of a later version'])
     assert more.fields() == sent.fields()
 
 
 @pytest.mark.parametrize(
-    ('crashes', 'most_bytes'),
+    ('crashes', 'max_bytes'),
     # One blocked request has three crashes.
     [(0, 4), (3, 200), (300, 20_000)],
 )
-def test_news_in_a_heartbeat_are_short(crashes: int, most_bytes: int):
+def test_updates_in_a_heartbeat_are_compact(crashes: int, max_bytes: int):
     without = len(encode(heartbeat())) - 3
-    assert len(encode(heartbeat(crashes))) - without <= most_bytes
+    assert len(encode(heartbeat(crashes))) - without <= max_bytes
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -1,4 +1,4 @@
-"""What is remembered of crashes, and its bounds."""
+"""Tests for the crash ledger and its limits."""
 
 from __future__ import annotations
 
@@ -8,103 +8,108 @@
 
 from wingfall.clock import ManualClock
 from wingfall.gateway.knowledge.crash_ledger import (
-    MOST_SUSPECTS,
-    MOST_TOLD,
+    MAX_REPORTED_SUSPECTS,
+    MAX_SUSPECTS,
     CrashLedger,
 )
 from wingfall.gateway.model.endpoint_crash import EndpointCrash
 
 DAY_MS = 86_400_000
-MOST_CRASHES = 256
+MAX_CRASHES = 256
 
 
 @pytest.fixture
 def ledger(clock: ManualClock) -> CrashLedger:
-    """Give an empty ledger."""
+    """Return an empty ledger."""
     return CrashLedger(clock=clock)
 
 
-def note(
+def record_crash(
     ledger: CrashLedger,
     clock: ManualClock,
     endpoint: str,
     *silent: bytes,
     streaming: tuple[bytes, ...] = (),
 ) -> None:
-    """Note a crash that is seen now."""
+    """Record a crash at the current time."""
     ledger.note_crash(
         EndpointCrash(
             endpoint=endpoint,
             crashed_ms=clock.now_ms(),
-            told_by='g1',
+            reported_by='g1',
             silent=silent,
             streaming=streaming,
         )
     )
 
 
-def test_suspects_of_one_crash_are_joined(
+def test_suspects_of_one_crash_are_merged(
     ledger: CrashLedger, clock: ManualClock
 ):
-    note(ledger, clock, 'e1', b'a')
-    note(ledger, clock, 'e1', b'b', streaming=(b'c',))
+    record_crash(ledger, clock, 'e1', b'a')
+    record_crash(ledger, clock, 'e1', b'b', streaming=(b'c',))
     (crash,) = ledger.crashes
     assert crash.silent == {b'a', b'b'}
     assert crash.streaming == {b'c'}
 
 
-def test_news_are_told_once(ledger: CrashLedger, clock: ManualClock):
-    note(ledger, clock, 'e1', b'a')
-    note(ledger, clock, 'e1', b'b')
-    (told,) = ledger.take_untold_crashes()
-    assert told.suspects == {b'a', b'b'}
-    assert not ledger.take_untold_crashes()
-    note(ledger, clock, 'e1', b'b', b'c')
-    (told,) = ledger.take_untold_crashes()
-    assert told.suspects == {b'c'}
+def test_crash_updates_are_reported_once(
+    ledger: CrashLedger, clock: ManualClock
+):
+    record_crash(ledger, clock, 'e1', b'a')
+    record_crash(ledger, clock, 'e1', b'b')
+    (reported,) = ledger.take_unreported_crashes()
+    assert reported.suspects == {b'a', b'b'}
+    assert not ledger.take_unreported_crashes()
+    record_crash(ledger, clock, 'e1', b'b', b'c')
+    (reported,) = ledger.take_unreported_crashes()
+    assert reported.suspects == {b'c'}
 
 
-def test_what_a_peer_told_is_not_told_on(
+def test_crash_reported_by_a_peer_is_not_forwarded(
     ledger: CrashLedger, clock: ManualClock
 ):
     crash = EndpointCrash(
-        endpoint='e1', crashed_ms=clock.now_ms(), told_by='g2', silent=[b'a']
+        endpoint='e1',
+        crashed_ms=clock.now_ms(),
+        reported_by='g2',
+        silent=[b'a'],
     )
-    assert ledger.take_crash(crash) is not None
-    assert ledger.take_crash(crash) is None
-    assert not ledger.take_untold_crashes()
+    assert ledger.merge_crash(crash) is not None
+    assert ledger.merge_crash(crash) is None
+    assert not ledger.take_unreported_crashes()
 
 
-def test_those_who_know_the_same_have_the_same_sum(clock: ManualClock):
-    one, two = CrashLedger(clock=clock), CrashLedger(clock=clock)
-    note(one, clock, 'e1', b'a', b'b')
-    assert one.recent_sum != two.recent_sum
-    note(two, clock, 'e1', b'b')
-    note(two, clock, 'e1', b'a')
-    assert one.recent_sum == two.recent_sum
+def test_ledgers_with_equal_crashes_have_equal_digests(clock: ManualClock):
+    first, second = CrashLedger(clock=clock), CrashLedger(clock=clock)
+    record_crash(first, clock, 'e1', b'a', b'b')
+    assert first.recent_digest != second.recent_digest
+    record_crash(second, clock, 'e1', b'b')
+    record_crash(second, clock, 'e1', b'a')
+    assert first.recent_digest == second.recent_digest
 
 
-def test_flood_of_requests_hides_none_that_comes_again(
+def test_flood_of_requests_does_not_hide_a_retried_request(
     ledger: CrashLedger, clock: ManualClock
 ):
-    note(ledger, clock, 'e1', b'again')
-    flood = [b'%03d' % number for number in range(MOST_TOLD * 3)]
-    note(ledger, clock, 'e2', b'again', *flood)
+    record_crash(ledger, clock, 'e1', b'again')
+    flood = [b'%03d' % number for number in range(MAX_REPORTED_SUSPECTS * 3)]
+    record_crash(ledger, clock, 'e2', b'again', *flood)
     crash = ledger.crashes[1]
     assert b'again' in crash.suspects
-    assert len(crash.suspects) == MOST_TOLD
+    assert len(crash.suspects) == MAX_REPORTED_SUSPECTS
 
 
-def test_flood_at_one_gateway_leaves_room_for_others(
+def test_flood_at_one_gateway_leaves_capacity_for_others(
     ledger: CrashLedger, clock: ManualClock
 ):
-    flood = [b'%03d' % number for number in range(MOST_TOLD * 3)]
-    note(ledger, clock, 'e1', *flood)
-    ledger.take_crash(
+    flood = [b'%03d' % number for number in range(MAX_REPORTED_SUSPECTS * 3)]
+    record_crash(ledger, clock, 'e1', *flood)
+    ledger.merge_crash(
         EndpointCrash(
             endpoint='e1',
             crashed_ms=clock.now_ms(),
-            told_by='g2',
+            reported_by='g2',
             silent=[b'seen by another'],
         )
     )
@@ -114,66 +119,64 @@
 def test_suspects_of_one_crash_are_bounded(
     ledger: CrashLedger, clock: ManualClock
 ):
-    for number in range(MOST_SUSPECTS * 2):
-        note(ledger, clock, 'e1', b'%03d' % number)
-    assert len(ledger.crashes[0].suspects) == MOST_SUSPECTS
+    for number in range(MAX_SUSPECTS * 2):
+        record_crash(ledger, clock, 'e1', b'%03d' % number)
+    assert len(ledger.crashes[0].suspects) == MAX_SUSPECTS
 
 
-def test_crashes_of_a_day_are_bounded(ledger: CrashLedger, clock: ManualClock):
-    for number in range(MOST_CRASHES + 10):
-        note(ledger, clock, f'e{number}', b'r%d' % number)
+def test_number_of_crashes_is_bounded(ledger: CrashLedger, clock: ManualClock):
+    for number in range(MAX_CRASHES + 10):
+        record_crash(ledger, clock, f'e{number}', b'r%d' % number)
         clock.advance(1)
     ledger.trim({'e0'})
-    left = {crash.endpoint for crash in ledger.crashes}
-    assert len(left) == MOST_CRASHES
-    # What a request is blocked for is forgotten last.
-    assert 'e0' in left
-    assert 'e1' not in left
+    remaining = {crash.endpoint for crash in ledger.crashes}
+    assert len(remaining) == MAX_CRASHES
+    # Crashes that block a request are removed last.
+    assert 'e0' in remaining
+    assert 'e1' not in remaining
 
 
-def test_crash_is_forgotten_after_a_day(
-    ledger: CrashLedger, clock: ManualClock
-):
-    note(ledger, clock, 'e1', b'a')
+def test_crash_expires_after_a_day(ledger: CrashLedger, clock: ManualClock):
+    record_crash(ledger, clock, 'e1', b'a')
     clock.advance(DAY_MS)
     ledger.forget_old()
     assert not ledger.crashes
     assert not ledger.served_ms
 
 
-def test_good_answer_speaks_for_a_suspect_and_is_told(
+def test_successful_answer_clears_a_suspect_and_is_reported(
     ledger: CrashLedger, clock: ManualClock
 ):
-    note(ledger, clock, 'e1', b'a')
+    record_crash(ledger, clock, 'e1', b'a')
     clock.advance(5)
     ledger.note_served(b'a')
     assert ledger.served_ms == {b'a': clock.now_ms()}
-    assert ledger.take_untold_served() == {b'a': clock.now_ms()}
+    assert ledger.take_unreported_served() == {b'a': clock.now_ms()}
     clock.advance(5)
     ledger.note_served(b'a')
-    assert not ledger.take_untold_served()
+    assert not ledger.take_unreported_served()
 
 
-def test_good_answer_before_a_crash_is_remembered(
+def test_successful_answer_before_a_crash_is_reported(
     ledger: CrashLedger, clock: ManualClock
 ):
     ledger.note_served(b'a')
     served_ms = clock.now_ms()
     clock.advance(1000)
-    note(ledger, clock, 'e1', b'a')
-    assert ledger.take_untold_served() == {b'a': served_ms}
+    record_crash(ledger, clock, 'e1', b'a')
+    assert ledger.take_unreported_served() == {b'a': served_ms}
 
 
-def test_good_answer_of_long_ago_says_nothing(
+def test_old_successful_answer_is_ignored(
     ledger: CrashLedger, clock: ManualClock
 ):
     ledger.note_served(b'a')
     clock.advance(60_000)
-    note(ledger, clock, 'e1', b'a')
+    record_crash(ledger, clock, 'e1', b'a')
     assert not ledger.served_ms
 
 
-def test_good_answers_of_others_take_no_room(ledger: CrashLedger):
+def test_recent_successful_answers_are_bounded(ledger: CrashLedger):
     for number in range(5000):
         ledger.note_served(b'%d' % number)
     assert not ledger.served_ms
@@ -184,28 +187,28 @@
     ('lost_after_ms', 'incomplete'),
     [(300, True), (301, False), (-300, True), (-301, False)],
 )
-def test_crash_beside_a_lost_gateway_is_incomplete(
+def test_crash_near_a_gateway_loss_is_incomplete(
     clock: ManualClock, lost_after_ms: int, *, incomplete: bool
 ):
     ledger = CrashLedger(clock=clock)
     if lost_after_ms < 0:
         ledger.note_gateway_lost('g2')
         clock.advance(-lost_after_ms)
-        note(ledger, clock, 'e1', b'a')
+        record_crash(ledger, clock, 'e1', b'a')
     else:
-        note(ledger, clock, 'e1', b'a')
+        record_crash(ledger, clock, 'e1', b'a')
         clock.advance(lost_after_ms)
         ledger.note_gateway_lost('g2')
     assert ledger.crashes[0].incomplete == incomplete
 
 
-def test_loss_of_all_gateways_of_a_fleet_costs_little(
+def test_loss_of_a_whole_fleet_is_processed_quickly(
     ledger: CrashLedger, clock: ManualClock
 ):
-    # In the loop of a gateway: some tens of milliseconds, 0.8 s if each crash
-    # is compared with all losses again.
-    for number in range(MOST_CRASHES):
-        note(ledger, clock, f'e{number}', b'r%d' % number)
+    # This runs in the event loop of a gateway: some tens of milliseconds, 0.8 s
+    # if each loss compares every crash with all losses again.
+    for number in range(MAX_CRASHES):
+        record_crash(ledger, clock, f'e{number}', b'r%d' % number)
     clock.advance(1000)
     began_ns = time.process_time_ns()
     for number in range(297):
@@ -213,9 +216,9 @@
     assert time.process_time_ns() - began_ns < 300_000_000
 
 
-def test_crash_that_the_lost_gateway_has_told_itself_is_complete(
+def test_crash_reported_by_the_lost_gateway_is_complete(
     ledger: CrashLedger, clock: ManualClock
 ):
-    note(ledger, clock, 'e1', b'a')
+    record_crash(ledger, clock, 'e1', b'a')
     ledger.note_gateway_lost('g1')
     assert not ledger.crashes[0].incomplete
--- a/tests/test_engine_priority.py
+++ b/tests/test_engine_priority.py
@@ -1,4 +1,4 @@
-"""How urgent engines are told that a prompt is."""
+"""Priority that is sent to an engine with a prompt."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 import pytest
 
 from wingfall.gateway.rules.placement.engine_priority import (
-    PRIORITIES,
+    PRIORITY_LEVELS,
     engine_priority,
 )
 
-CUSTOMERS = (None, *range(PRIORITIES))
+CUSTOMER_TIERS = (None, *range(PRIORITY_LEVELS))
 
 
-@pytest.mark.parametrize('count', range(1, PRIORITIES + 1))
-def test_more_urgent_route_goes_first_whoever_the_customers_are(count: int):
+@pytest.mark.parametrize('count', range(1, PRIORITY_LEVELS + 1))
+def test_more_urgent_route_goes_first_for_all_customers(count: int):
     tiers = range(count)
     for urgent, lesser in itertools.combinations(tiers, 2):
-        for first, second in itertools.product(CUSTOMERS, CUSTOMERS):
+        for first, second in itertools.product(CUSTOMER_TIERS, CUSTOMER_TIERS):
             assert engine_priority(urgent, first, tiers) < engine_priority(
                 lesser, second, tiers
             )
 
 
-@pytest.mark.parametrize('count', range(1, PRIORITIES + 1))
-def test_priorities_fit_what_engines_tell_apart(count: int):
+@pytest.mark.parametrize('count', range(1, PRIORITY_LEVELS + 1))
+def test_priorities_are_in_the_range_of_engines(count: int):
     tiers = range(count)
-    told = {
+    priorities = {
         engine_priority(tier, customer, tiers)
-        for tier, customer in itertools.product(tiers, CUSTOMERS)
+        for tier, customer in itertools.product(tiers, CUSTOMER_TIERS)
     }
-    assert told <= set(range(PRIORITIES))
+    assert priorities <= set(range(PRIORITY_LEVELS))
 
 
 def test_customers_are_ordered_among_prompts_of_one_tier():
@@ -40,10 +40,10 @@
     assert ranked == [3, 4, 4, 5]
 
 
-def test_tiers_far_apart_leave_room_for_customers():
+def test_customers_are_ranked_if_tiers_are_not_adjacent():
     assert engine_priority(9, 0, (2, 9)) < engine_priority(9, 9, (2, 9))
 
 
-def test_more_tiers_than_engines_tell_apart_share_the_last():
+def test_tiers_beyond_the_range_of_engines_share_the_last_priority():
     tiers = range(20)
-    assert engine_priority(19, None, tiers) == PRIORITIES - 1
+    assert engine_priority(19, None, tiers) == PRIORITY_LEVELS - 1
--- a/tests/test_full_gaps.py
+++ b/tests/test_full_gaps.py
@@ -1,4 +1,4 @@
-"""What gateways know of gaps beside reads, and tell of them."""
+"""Samples of token gaps at full load, and their reports to gateways."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @pytest.fixture
 def clock() -> ManualClock:
-    """Make the time."""
+    """Create a manual clock."""
     return ManualClock(start_ms=1000)
 
 
-def test_slow_spells_do_not_change_the_typical_gap(clock: ManualClock):
+def test_slowdowns_do_not_change_the_typical_gap(clock: ManualClock):
     window = FullGaps(clock=clock).find('e')
     for gap_ms in (80, 190, 85, 190, 80, 190, 85, 190):
         window.add(gap_ms)
@@ -23,14 +23,14 @@
     assert max(window.gaps_ms) == 190
 
 
-def test_engine_with_few_gaps_is_not_judged(clock: ManualClock):
+def test_typical_gap_needs_enough_samples(clock: ManualClock):
     window = FullGaps(clock=clock).find('e')
     for _stream in range(5):
         window.add(80)
     assert window.typical_ms is None
 
 
-def test_old_gaps_go_once_there_are_newer_ones(clock: ManualClock):
+def test_old_gaps_are_dropped_for_newer_ones(clock: ManualClock):
     window = FullGaps(clock=clock).find('e')
     for _stream in range(8):
         window.add(80)
@@ -41,57 +41,57 @@
     assert window.typical_ms == 170
 
 
-def test_gaps_are_told_once_and_few_of_them(clock: ManualClock):
-    gaps = FullGaps(clock=clock, tells=True)
+def test_few_gaps_are_reported_and_only_once(clock: ManualClock):
+    gaps = FullGaps(clock=clock, reports_gaps=True)
     for _stream in range(20):
         gaps.find('e').note(90)
-    told = gaps.take_untold()
-    assert told == [['e', 90, 90, 90, 90]]
-    assert gaps.take_untold() == []
-    # Enough of them are recent for all gateways.
+    reported = gaps.take_unreported()
+    assert reported == [['e', 90, 90, 90, 90]]
+    assert gaps.take_unreported() == []
+    # The recent gaps suffice for all gateways.
     gaps.find('e').note(90)
-    assert gaps.take_untold() == []
-    heard = FullGaps(clock=clock, tells=True)
-    for name, *gaps_ms in told:
-        heard.take_told(name, gaps_ms)
-    assert heard.find('e').gaps_ms == [90, 90, 90, 90]
-    assert heard.take_untold() == []
+    assert gaps.take_unreported() == []
+    receiver = FullGaps(clock=clock, reports_gaps=True)
+    for name, *gaps_ms in reported:
+        receiver.merge_reported(name, gaps_ms)
+    assert receiver.find('e').gaps_ms == [90, 90, 90, 90]
+    assert receiver.take_unreported() == []
 
 
-def test_gateway_that_starts_is_told_enough(clock: ManualClock):
-    gaps = FullGaps(clock=clock, tells=True)
+def test_started_gateway_receives_enough_gaps(clock: ManualClock):
+    gaps = FullGaps(clock=clock, reports_gaps=True)
     for gap_ms in range(80, 100):
         gaps.find('e').note(gap_ms)
-    assert gaps.write_all() == [['e', 94, 95, 96, 97, 98, 99]]
-    started = FullGaps(clock=clock, tells=True)
-    for name, *gaps_ms in gaps.write_all():
-        started.take_told(name, gaps_ms)
+    assert gaps.encode_all() == [['e', 94, 95, 96, 97, 98, 99]]
+    started = FullGaps(clock=clock, reports_gaps=True)
+    for name, *gaps_ms in gaps.encode_all():
+        started.merge_reported(name, gaps_ms)
     assert started.find('e').typical_ms is not None
 
 
-def test_nothing_is_told_where_no_groups_are_asked_for(clock: ManualClock):
+def test_no_gaps_are_reported_by_default(clock: ManualClock):
     gaps = FullGaps(clock=clock)
     gaps.find('e').note(90)
-    assert gaps.take_untold() == []
-    assert gaps.write_all() == []
+    assert gaps.take_unreported() == []
+    assert gaps.encode_all() == []
 
 
-def test_engines_that_are_gone_are_forgotten(clock: ManualClock):
-    gaps = FullGaps(clock=clock, tells=True)
+def test_gaps_of_unlisted_engines_are_removed(clock: ManualClock):
+    gaps = FullGaps(clock=clock, reports_gaps=True)
     gaps.find('e').note(90)
-    gaps.keep_only(set())
+    gaps.retain_only(set())
     assert gaps.find('e').gaps_ms == []
 
 
 @pytest.mark.parametrize(
-    ('gap_ms', 'reading', 'kept'),
+    ('gap_ms', 'prefill_tokens', 'is_stored'),
     [(100, 40_000, True), (100, 8000, False), (40, 40_000, False)],
-    ids=['beside reads', 'reads may have ended', 'as long as alone'],
+    ids=['during prefill', 'prefill may have ended', 'as long as idle gap'],
 )
-def test_gap_counts_if_reads_filled_it(
-    clock: ManualClock, gap_ms: int, reading: int, *, kept: bool
+def test_gap_is_sampled_during_prefill_only(
+    clock: ManualClock, gap_ms: int, prefill_tokens: int, *, is_stored: bool
 ):
     window = FullGaps(clock=clock).find('e')
     speed = EngineSpeed(tokens_per_ms=80, full_gaps=window)
-    speed.note_longest_gap(gap_ms, reading)
-    assert bool(window.gaps_ms) == kept
+    speed.note_longest_gap(gap_ms, prefill_tokens)
+    assert bool(window.gaps_ms) == is_stored
--- a/tests/test_gateway_load.py
+++ b/tests/test_gateway_load.py
@@ -1,4 +1,4 @@
-"""What runs where, and the copy of the platform's objects."""
+"""Load table, replica of the platform's objects, and endpoint table."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from wingfall.gateway.model.object_store import StoredObject, StoreReading
 from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 from wingfall.gateway.peers.loads.load_entries import (
-    read_loads,
-    write_loads,
-    write_work,
+    decode_loads,
+    encode_load,
+    encode_loads,
 )
 
-# Milliseconds for which an entry that went without notice is still used.
-MOST_LAPSE_MS = 600
+# How long a lapsed entry is still used.
+LAPSE_GRACE_MS = 600
 
 
 def stored(name: str, revision: int, *, gone: bool = False) -> StoredObject:
-    """Make an object."""
+    """Create a stored object, or the record of its deletion."""
     spec = None if gone else {'revision': revision}
     return StoredObject(name=name, revision=revision, spec=spec)
 
 
 def make_endpoint(name: str, *, draining: bool = False) -> PoolEndpoint:
-    """Make an endpoint of one pool."""
+    """Create an endpoint of the test pool."""
     return PoolEndpoint(
         name=name,
         pool='pool',
@@ -43,12 +43,12 @@
 
 def test_load_counts_from_sending_to_end():
     table = LoadTable()
-    brought = EndpointLoad(running=1, reading_tokens=500, memory_used=600)
-    entry = table.start('one', brought)
-    assert table.total('one').reading_tokens == 500
+    load = EndpointLoad(running=1, prefill_tokens=500, memory_used=600)
+    entry = table.start('one', load)
+    assert table.total('one').prefill_tokens == 500
     entry.begin_output()
     entry.begin_output()
-    assert table.total('one').reading_tokens == 0
+    assert table.total('one').prefill_tokens == 0
     assert table.total('one').running == 1
     entry.end()
     entry.end()
@@ -56,66 +56,70 @@
     assert not table.own
 
 
-def test_load_that_was_brought_stays_as_it_was():
-    brought = EndpointLoad(running=1, reading_tokens=500, streams={200: 1})
-    entry = LoadTable().start('one', brought)
+def test_load_entry_does_not_change_the_load_passed_in():
+    load = EndpointLoad(running=1, prefill_tokens=500, streams={200: 1})
+    entry = LoadTable().start('one', load)
     entry.begin_output()
     entry.end()
-    assert brought.reading_tokens == 500
-    assert brought.streams == {200: 1}
+    assert load.prefill_tokens == 500
+    assert load.streams == {200: 1}
 
 
-def test_load_adds_up_over_peers():
+def test_total_load_includes_peers():
     table = LoadTable()
     table.start('one', EndpointLoad(running=1))
-    table.take_from_peer('peer', [('one', EndpointLoad(running=2))], whole=True)
+    table.merge_from_peer(
+        'peer', [('one', EndpointLoad(running=2))], whole=True
+    )
     assert table.total('one').running == 3
-    table.take_from_peer(
+    table.merge_from_peer(
         'peer', [('two', EndpointLoad(running=1))], whole=False
     )
     assert table.total('one').running == 3
-    table.take_from_peer('peer', [('two', EndpointLoad(running=1))], whole=True)
+    table.merge_from_peer(
+        'peer', [('two', EndpointLoad(running=1))], whole=True
+    )
     assert table.total('one').running == 1
-    table.forget('peer')
+    table.remove_peer('peer')
     assert table.total('one').running == 1
 
 
-def test_work_that_a_peer_has_ended_is_gone():
+def test_ended_work_of_a_peer_is_removed():
     table = LoadTable()
     for peer in ('a', 'b'):
-        table.take_from_peer(
+        table.merge_from_peer(
             peer, [('one', EndpointLoad(running=2))], whole=True
         )
-    table.take_from_peer('a', [('one', EndpointLoad())], whole=False)
+    table.merge_from_peer('a', [('one', EndpointLoad())], whole=False)
     assert table.total('one').running == 2
-    table.take_from_peer('b', [('one', EndpointLoad(running=5))], whole=False)
+    table.merge_from_peer('b', [('one', EndpointLoad(running=5))], whole=False)
     assert table.total('one').running == 5
-    table.take_from_peer('b', [], whole=True)
+    table.merge_from_peer('b', [], whole=True)
     assert table.total('one').running == 0
 
 
-def test_peers_hear_what_changed_and_what_ended():
+def test_changed_and_ended_work_is_reported_to_peers():
     table = LoadTable()
     entry = table.start('one', EndpointLoad(running=1))
-    assert table.take_changed()['one'].running == 1
-    assert not table.has_changed
+    assert table.take_unreported()['one'].running == 1
+    assert not table.has_unreported
     entry.end()
-    assert table.take_changed()['one'].running == 0
+    assert table.take_unreported()['one'].running == 0
 
 
-def test_sum_fades(clock: ManualClock):
-    reads = DecayingSum(half_life_ms=1000)
-    reads.add(4000, clock.now_ms())
-    assert reads.at(clock.now_ms()) == pytest.approx(4000)
+def test_decaying_sum_halves_after_its_half_life(clock: ManualClock):
+    decaying_sum = DecayingSum(half_life_ms=1000)
+    decaying_sum.add(4000, clock.now_ms())
+    assert decaying_sum.at(clock.now_ms()) == pytest.approx(4000)
     clock.advance(1000)
-    assert reads.at(clock.now_ms()) == pytest.approx(2000)
+    assert decaying_sum.at(clock.now_ms()) == pytest.approx(2000)
 
 
-def test_streams_are_counted_by_the_pause_they_bear():
+def test_streams_are_counted_by_their_token_gap_bound():
     table = LoadTable()
     entry = table.start('one', EndpointLoad(running=1, streams={200: 1}))
     table.start('one', EndpointLoad(running=1, streams={200: 1, 300: 1}))
-    table.take_from_peer(
+    table.merge_from_peer(
         'p', [('one', EndpointLoad(running=1, streams={300: 2}))], whole=True
     )
     assert table.total('one').streams == {200: 2, 300: 3}
@@ -124,71 +128,71 @@
     assert table.total('one').running == 2
 
 
-def test_work_is_the_same_after_the_wire():
+def test_loads_survive_encoding_and_decoding():
     load = EndpointLoad(
         running=3,
-        reading_tokens=7,
+        prefill_tokens=7,
         memory_used=9,
         streams={300: 2, 200: 1},
     )
-    ((name, read),) = read_loads(write_loads({'one': load}))
+    ((name, read),) = decode_loads(encode_loads({'one': load}))
     assert name == 'one'
-    assert write_work(read) == write_work(load)
+    assert encode_load(read) == encode_load(load)
     assert read.streams == load.streams
 
 
 def reading(revision: int, *objects: StoredObject) -> StoreReading:
-    """Make a reading of the store."""
+    """Create a result of reading the store."""
     return StoreReading(revision=revision, objects=list(objects))
 
 
-def make_replica(told: list[tuple[str, object]]) -> ObjectReplica:
-    """Make a replica that tells a list of its changes."""
+def make_replica(changes: list[tuple[str, object]]) -> ObjectReplica:
+    """Create a replica that appends its changes to a list."""
     return ObjectReplica(
         kind='k',
-        listener=lambda name, spec: told.append((name, spec is None)),
+        listener=lambda name, spec: changes.append((name, spec is None)),
     )
 
 
-def test_replica_only_moves_up():
-    told = []
-    replica = make_replica(told)
+def test_replica_ignores_older_revisions():
+    changes = []
+    replica = make_replica(changes)
     assert replica.apply_changes(reading(5, stored('a', 5))) == 1
     assert replica.apply_changes(reading(5, stored('a', 5))) == 0
     assert replica.apply_changes(reading(6, stored('a', 4))) == 0
     assert replica.apply_changes(reading(7, stored('a', 6, gone=True))) == 1
     assert replica.apply_changes(reading(7, stored('a', 6))) == 0
-    assert told == [('a', False), ('a', True)]
+    assert changes == [('a', False), ('a', True)]
 
 
-def test_list_removes_what_it_lacks_but_not_what_is_newer():
-    told = []
-    replica = make_replica(told)
+def test_list_removes_missing_objects_unless_they_are_newer():
+    changes = []
+    replica = make_replica(changes)
     replica.apply_changes(reading(5, stored('old', 5)))
     replica.apply_changes(reading(20, stored('new', 20)))
     replica.apply_list(reading(10, stored('a', 9)))
-    assert told[2:] == [('a', False), ('old', True)]
+    assert changes[2:] == [('a', False), ('old', True)]
 
 
-def test_gone_event_with_the_last_revision_counts_once():
-    told = []
-    replica = make_replica(told)
+def test_deletion_with_the_last_revision_counts_once():
+    changes = []
+    replica = make_replica(changes)
     replica.apply_changes(reading(5, stored('a', 5)))
     replica.apply_changes(reading(8, stored('a', 5, gone=True)))
     replica.apply_changes(reading(9, stored('a', 5)))
-    assert told == [('a', False), ('a', True)]
+    assert changes == [('a', False), ('a', True)]
 
 
-def test_object_that_went_and_came_within_one_reading_is_there():
-    told = []
-    replica = make_replica(told)
+def test_object_deleted_and_created_within_one_reading_exists():
+    changes = []
+    replica = make_replica(changes)
     replica.apply_changes(reading(5, stored('a', 5)))
-    went_and_came = (stored('a', 5, gone=True), stored('a', 7))
-    replica.apply_changes(reading(12, *went_and_came))
-    assert told[-1] == ('a', False)
+    deleted_and_created = (stored('a', 5, gone=True), stored('a', 7))
+    replica.apply_changes(reading(12, *deleted_and_created))
+    assert changes[-1] == ('a', False)
 
 
-def test_peer_gets_what_it_lacks():
+def test_peer_gets_missing_changes():
     replica = make_replica([])
     replica.apply_changes(reading(5, stored('a', 5), stored('b', 4)))
     replica.apply_changes(reading(8, stored('a', 5, gone=True)))
@@ -199,7 +203,7 @@
     assert other.revision == 8
 
 
-def test_single_endpoint_that_went_is_not_used(clock: ManualClock):
+def test_single_removed_endpoint_is_not_used(clock: ManualClock):
     table = EndpointTable(clock=clock)
     for name in ('one', 'two', 'three'):
         table.put(make_endpoint(name))
@@ -208,30 +212,32 @@
     assert names == ['two', 'three']
 
 
-def test_entries_that_lapsed_together_still_serve(clock: ManualClock):
+def test_endpoints_are_usable_after_their_entries_lapsed_together(
+    clock: ManualClock,
+):
     table = EndpointTable(clock=clock)
     for name in ('one', 'two', 'three'):
         table.put(make_endpoint(name))
     table.remove('one')
     table.remove('two')
     assert len(table.usable('pool')) == 3
-    clock.advance(MOST_LAPSE_MS)
+    clock.advance(LAPSE_GRACE_MS)
     assert [each.name for each in table.usable('pool')] == ['three']
 
 
-def test_endpoint_that_drained_is_gone_at_once(clock: ManualClock):
+def test_drained_endpoint_is_removed_at_once(clock: ManualClock):
     table = EndpointTable(clock=clock)
     table.put(make_endpoint('one', draining=True))
     table.remove('one')
     assert not table.usable('pool')
 
 
-def test_events_are_cut_at_their_ends():
+def test_event_stream_is_split_at_event_boundaries():
     splitter = EventSplitter()
     assert splitter.feed(b'id: 1\nda') == b''
-    assert splitter.torn
+    assert splitter.has_partial_event
     assert splitter.feed(b'ta: x\n\nid: 2') == b'id: 1\ndata: x\n\n'
     assert splitter.last_event_id == '1'
     assert splitter.feed(b'\ndata: y\n\n') == b'id: 2\ndata: y\n\n'
-    assert not splitter.torn
+    assert not splitter.has_partial_event
     assert splitter.last_event_id == '2'
--- a/tests/test_gateway_requests.py
+++ b/tests/test_gateway_requests.py
@@ -1,15 +1,15 @@
-"""Plain requests through a gateway: what callers and endpoints see."""
+"""Tests of plain requests through a gateway."""
 
 from __future__ import annotations
 
 import gevent
 import pytest
 
-from tests.gateway_site import KEY, GatewaySite, known_endpoints
+from tests.gateway_site import API_KEY, GatewaySite, known_endpoints
 from tests.local_site import wait_until
 
-# What an endpoint may do so that the answer is of no use.
-BROKEN = (
+# Faults of an endpoint that make its answer unusable.
+UNUSABLE_ANSWERS = (
     'reset',
     'torn',
     'unframed_reset',
@@ -21,15 +21,15 @@
 
 @pytest.fixture
 def plain_site(gateway_site: GatewaySite) -> GatewaySite:
-    """Give a site of one gateway and two plain endpoints."""
+    """Create a site with one gateway and two plain endpoints."""
     gateway_site.add_server('one')
     gateway_site.add_server('two')
     gateway_site.add_gateway()
     return gateway_site
 
 
-def runs(site: GatewaySite) -> list[str]:
-    """List the ids of all runs at all endpoints."""
+def all_run_ids(site: GatewaySite) -> list[str]:
+    """Return the ids of all runs at all endpoints."""
     return [
         call_id
         for server in site.servers.values()
@@ -37,13 +37,13 @@
     ]
 
 
-def break_all(site: GatewaySite, fault: str, times: int = 1) -> None:
-    """Make each endpoint break its next answers."""
+def set_faults(site: GatewaySite, fault: str, times: int = 1) -> None:
+    """Apply a fault to the next answers of each endpoint."""
     for server in site.servers.values():
-        server.faults = [fault for _time in range(times)]
+        server.faults = [fault for _answer in range(times)]
 
 
-def test_answer_is_the_endpoints(plain_site: GatewaySite):
+def test_answer_of_the_endpoint_is_relayed(plain_site: GatewaySite):
     answer = plain_site.ask('/safe/x?y=1', X_Attempt_Id='r1')
     assert answer.status == 200
     assert answer.whole
@@ -52,7 +52,7 @@
     assert answer.headers['x-attempt-id'] == 'r1'
 
 
-def test_endpoint_sees_the_request_without_the_key(plain_site: GatewaySite):
+def test_endpoint_receives_the_request_without_the_key(plain_site: GatewaySite):
     plain_site.ask(
         '/unsafe/x',
         method='POST',
@@ -87,8 +87,10 @@
     assert run.body == b'abcde'
 
 
-@pytest.mark.parametrize('fault', [*BROKEN, 'error', 'shed', 'foreign'])
-def test_repeatable_request_is_sent_again(plain_site: GatewaySite, fault: str):
+@pytest.mark.parametrize(
+    'fault', [*UNUSABLE_ANSWERS, 'error', 'shed', 'foreign']
+)
+def test_repeatable_request_is_retried(plain_site: GatewaySite, fault: str):
     plain_site.servers['one'].faults = [fault]
     answers = [
         plain_site.ask('/safe/x', X_Attempt_Id=f'r{number}')
@@ -101,48 +103,48 @@
 
 
 @pytest.mark.parametrize('path', ['/unsafe/x', '/patient/x'])
-@pytest.mark.parametrize('fault', BROKEN)
+@pytest.mark.parametrize('fault', UNUSABLE_ANSWERS)
 def test_unrepeatable_request_runs_once(
     plain_site: GatewaySite,
     fault: str,
     path: str,
 ):
-    break_all(plain_site, fault)
+    set_faults(plain_site, fault)
     answer = plain_site.ask(path, method='POST', X_Attempt_Id='r1')
     assert answer.status == 502
     assert answer.whole
     assert 'x-response-seal' not in answer.headers
-    assert runs(plain_site) == ['r1']
+    assert all_run_ids(plain_site) == ['r1']
 
 
-def test_unrepeatable_failure_of_the_endpoint_is_passed_on(
+def test_failure_answer_to_unrepeatable_request_is_relayed(
     plain_site: GatewaySite,
 ):
-    break_all(plain_site, 'error')
+    set_faults(plain_site, 'error')
     answer = plain_site.ask('/unsafe/x', method='POST', X_Attempt_Id='r1')
     assert answer.status == 500
     assert answer.headers['x-response-seal'].startswith('seal.')
-    assert runs(plain_site) == ['r1']
+    assert all_run_ids(plain_site) == ['r1']
 
 
-def test_refusal_tells_when_to_come_back(plain_site: GatewaySite):
-    break_all(plain_site, 'shed', times=2)
+def test_refusal_has_a_retry_after_header(plain_site: GatewaySite):
+    set_faults(plain_site, 'shed', times=2)
     answer = plain_site.ask('/unsafe/x', method='POST', X_Deadline_Ms='900')
     assert answer.status == 503
     assert 0 < float(answer.headers['retry-after']) < 1 / 3
-    assert not runs(plain_site)
+    assert not all_run_ids(plain_site)
 
 
-def test_no_more_endpoints_than_the_route_allows(plain_site: GatewaySite):
+def test_attempts_are_limited_by_the_route(plain_site: GatewaySite):
     plain_site.add_server('three')
     wait_until(lambda: len(plain_site.gateways[0].status()['endpoints']) == 3)
-    break_all(plain_site, 'error', times=3)
+    set_faults(plain_site, 'error', times=3)
     answer = plain_site.ask('/safe/x')
     assert answer.status == 500
-    assert len(runs(plain_site)) == 2
+    assert len(all_run_ids(plain_site)) == 2
 
 
-def test_endpoint_that_takes_no_connection_costs_no_attempt(
+def test_refused_connection_is_not_counted_as_an_attempt(
     plain_site: GatewaySite,
 ):
     plain_site.servers['one'].stop()
@@ -153,7 +155,9 @@
         assert answer.status == 200
 
 
-def test_no_endpoint_is_refused_as_not_run(plain_site: GatewaySite):
+def test_request_without_reachable_endpoint_is_refused_as_not_run(
+    plain_site: GatewaySite,
+):
     for server in plain_site.servers.values():
         server.stop()
     answer = plain_site.ask('/unsafe/x', method='POST')
@@ -161,36 +165,36 @@
     assert 'retry-after' in answer.headers
 
 
-def test_bytes_after_an_answer_belong_to_no_request(plain_site: GatewaySite):
-    break_all(plain_site, 'extra', times=2)
+def test_extra_bytes_after_an_answer_are_ignored(plain_site: GatewaySite):
+    set_faults(plain_site, 'extra', times=2)
     for number in range(6):
         answer = plain_site.ask('/safe/x', X_Attempt_Id=f'r{number}')
         assert f' r{number} '.encode() in answer.body
-    # None was sent into what the endpoint had sent too much of.
-    assert len(runs(plain_site)) == 6
+    # No request was sent over a connection with unexpected bytes.
+    assert len(all_run_ids(plain_site)) == 6
 
 
 def test_unframed_answer_ends_with_its_connection(plain_site: GatewaySite):
-    break_all(plain_site, 'unframed')
+    set_faults(plain_site, 'unframed')
     answer = plain_site.ask('/safe/x', X_Attempt_Id='r1')
     assert answer.status == 200
     assert b' r1 ' in answer.body
     assert answer.whole
 
 
-def test_time_over_is_answered_at_once(plain_site: GatewaySite):
-    break_all(plain_site, 'hang')
+def test_expired_deadline_is_answered_with_a_timeout(plain_site: GatewaySite):
+    set_faults(plain_site, 'hang')
     answer = plain_site.ask('/unsafe/x', method='POST', X_Deadline_Ms='300')
     assert answer.status == 504
-    assert len(runs(plain_site)) == 1
+    assert len(all_run_ids(plain_site)) == 1
 
 
-def test_caller_that_leaves_ends_the_work(plain_site: GatewaySite):
+def test_run_is_cancelled_if_the_caller_disconnects(plain_site: GatewaySite):
     for server in plain_site.servers.values():
         server.delay_ms = 60_000
     caller = plain_site.caller()
     caller.send('/patient/x', method='POST')
-    wait_until(lambda: runs(plain_site))
+    wait_until(lambda: all_run_ids(plain_site))
     caller.close()
     wait_until(
         lambda: any(
@@ -206,11 +210,11 @@
     [
         ('/safe/x', 'unknown', 401),
         ('/safe/x', '', 401),
-        ('/none/x', KEY, 404),
-        ('/saf', KEY, 404),
+        ('/none/x', API_KEY, 404),
+        ('/saf', API_KEY, 404),
     ],
 )
-def test_what_the_configuration_does_not_allow(
+def test_requests_without_route_or_key_are_refused(
     plain_site: GatewaySite,
     target: str,
     key: str,
@@ -219,13 +223,13 @@
     authorization = f'Token {key}' if key else ''
     answer = plain_site.ask(target, Authorization=authorization)
     assert answer.status == status
-    assert not runs(plain_site)
+    assert not all_run_ids(plain_site)
 
 
 def test_body_over_the_limit_is_refused(plain_site: GatewaySite):
     answer = plain_site.ask('/unsafe/x', method='POST', body=bytes(200_000))
     assert answer.status == 413
-    assert not runs(plain_site)
+    assert not all_run_ids(plain_site)
 
 
 def test_head_over_the_limit_is_refused(plain_site: GatewaySite):
@@ -236,7 +240,7 @@
 
 
 @pytest.mark.parametrize('garbage', [b'\x16\x03\x01\x00', b'GET\r\n\r\n'])
-def test_garbage_is_refused_and_nothing_else_suffers(
+def test_garbage_does_not_affect_other_requests(
     plain_site: GatewaySite,
     garbage: bytes,
 ):
@@ -251,24 +255,24 @@
     assert plain_site.ask('/safe/x').status == 200
 
 
-def test_connection_is_kept_for_the_next_request(plain_site: GatewaySite):
+def test_connection_is_reused_for_the_next_request(plain_site: GatewaySite):
     caller = plain_site.caller()
     for number in range(3):
         caller.send('/safe/x', X_Attempt_Id=f'r{number}')
         assert f' r{number} '.encode() in caller.receive().body
 
 
-def test_budget_bounds_second_sendings(gateway_site: GatewaySite):
+def test_retry_budget_limits_retries(gateway_site: GatewaySite):
     gateway_site.add_server('one')
     gateway_site.add_server('two')
     gateway_site.add_gateway(resend={'ratio': 0, 'slack': 2.5, 'window_s': 60})
-    break_all(gateway_site, 'error', times=100)
+    set_faults(gateway_site, 'error', times=100)
     for number in range(6):
         gateway_site.ask('/safe/x', X_Attempt_Id=f'r{number}')
-    assert len(runs(gateway_site)) == 6 + 2
+    assert len(all_run_ids(gateway_site)) == 6 + 2
 
 
-def test_budget_is_shared_with_gateways_out_of_reach(
+def test_retry_budget_is_divided_with_unreachable_gateways(
     gateway_site: GatewaySite,
 ):
     gateway_site.add_server('one')
@@ -280,14 +284,14 @@
             'seeds': ['127.0.0.1:1', '127.0.0.1:2'],
         },
     )
-    break_all(gateway_site, 'error', times=100)
+    set_faults(gateway_site, 'error', times=100)
     for number in range(6):
         gateway_site.ask('/safe/x', X_Attempt_Id=f'r{number}')
-    assert len(runs(gateway_site)) == 6 + 2
+    assert len(all_run_ids(gateway_site)) == 6 + 2
 
 
 def test_draining_endpoint_gets_no_new_request(plain_site: GatewaySite):
-    plain_site.list_server('one', 'plain', state='draining')
+    plain_site.put_server('one', 'plain', state='draining')
     table = known_endpoints(plain_site.gateways[0])
     wait_until(lambda: len(table.usable('plain')) == 1)
     for number in range(4):
@@ -295,16 +299,16 @@
     assert not plain_site.servers['one'].runs
 
 
-def test_planned_stop_finishes_what_runs(plain_site: GatewaySite):
+def test_planned_stop_completes_running_requests(plain_site: GatewaySite):
     for server in plain_site.servers.values():
         server.delay_ms = 400
-    kept, fresh = plain_site.caller(), plain_site.caller()
-    kept.send('/safe/x', X_Attempt_Id='r1')
-    wait_until(lambda: runs(plain_site))
+    reused, fresh = plain_site.caller(), plain_site.caller()
+    reused.send('/safe/x', X_Attempt_Id='r1')
+    wait_until(lambda: all_run_ids(plain_site))
     gateway = plain_site.gateways[0]
     stopping = gevent.spawn(gateway.drain)
     wait_until(gateway.not_ready)
-    first = kept.receive()
+    first = reused.receive()
     assert first.status == 200
     assert first.headers['connection'] == 'close'
     fresh.send('/safe/x', X_Attempt_Id='r2')
@@ -318,14 +322,14 @@
         server.delay_ms = 3500
     caller = plain_site.caller()
     caller.send('/patient/x', method='POST')
-    wait_until(lambda: runs(plain_site))
+    wait_until(lambda: all_run_ids(plain_site))
     gateway = plain_site.gateways[0]
     gateway.drain()
     gateway.close()
     assert caller.receive().status == 200
 
 
-def test_planned_stop_serves_a_request_that_waits_unread(
+def test_planned_stop_serves_a_late_request_on_an_idle_connection(
     plain_site: GatewaySite,
 ):
     gateway = plain_site.gateways[0]
@@ -337,12 +341,13 @@
     gevent.sleep(2.5)
     late.send('/safe/x', X_Attempt_Id='r2')
     assert late.receive().status == 200
-    assert idle.closed()
+    assert idle.wait_closed()
     stopping.join()
 
 
-def test_only_success_speaks_for_a_request(gateway_site: GatewaySite):
-    # A failing endpoint answers 500 without having run what crashes others.
+def test_only_successful_runs_are_recorded_as_served(gateway_site: GatewaySite):
+    # A failing endpoint answers 500 without running a request that crashes
+    # other endpoints.
     server = gateway_site.add_server('one')
     gateway = gateway_site.add_gateway()
     server.faults = ['error', 'error']
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -1,4 +1,4 @@
-"""Event streams through a gateway."""
+"""Forwarding and placement of event streams by a gateway."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 @pytest.fixture
 def engine_site(gateway_site: GatewaySite) -> GatewaySite:
-    """Give a site of one gateway and two engines."""
+    """Return a site of one gateway and two engines."""
     gateway_site.add_server('one', 'engines')
     gateway_site.add_server('two', 'engines')
     gateway_site.add_gateway()
     return gateway_site
 
 
-def event_ids(body: bytes) -> list[int]:
-    """List the ids of a stream's events."""
+def parse_event_ids(body: bytes) -> list[int]:
+    """Return the ids of the events in the body of a stream."""
     return [
         int(line.removeprefix(b'id: '))
         for line in body.split(b'\n')
@@ -28,20 +28,20 @@
     ]
 
 
-def break_all(site: GatewaySite, fault: str) -> None:
-    """Make each engine break its next answer."""
+def inject_fault(site: GatewaySite, fault: str) -> None:
+    """Inject the fault into the next answer of each engine."""
     for server in site.servers.values():
         server.faults = [fault]
 
 
-def test_stream_is_passed_on_whole(engine_site: GatewaySite):
+def test_stream_is_forwarded_completely(engine_site: GatewaySite):
     answer = engine_site.ask('/stream/x', method='POST', **PROMPT)
     assert answer.status == 200
     assert answer.whole
-    assert event_ids(answer.body) == [1, 2, 3]
+    assert parse_event_ids(answer.body) == [1, 2, 3]
 
 
-def test_events_pass_as_they_arrive(engine_site: GatewaySite):
+def test_events_are_forwarded_as_they_arrive(engine_site: GatewaySite):
     for server in engine_site.servers.values():
         server.event_ms = 150
     caller = engine_site.caller()
@@ -52,15 +52,15 @@
     assert b'id: 3\n' not in received
 
 
-def test_engine_gets_the_tier_and_the_prompt(engine_site: GatewaySite):
+def test_engine_receives_priority_and_prompt_headers(engine_site: GatewaySite):
     engine_site.ask('/stream/x', method='POST', **PROMPT)
     (run,) = [run for each in engine_site.servers.values() for run in each.runs]
-    # The customer's own priority is above that of the one tier of routes.
+    # The customer's priority ranks above the only tier of routes.
     assert run.headers['x-request-priority'] == '0'
     assert run.headers['x-prompt-prefix'] == 'aa:200,bb:100'
 
 
-def test_stream_goes_on_at_another_engine(engine_site: GatewaySite):
+def test_cut_stream_resumes_at_another_engine(engine_site: GatewaySite):
     cut_once = ['cut']
     for server in engine_site.servers.values():
         server.events = 6
@@ -69,7 +69,7 @@
         '/stream/x', method='POST', X_Attempt_Id='r1', **PROMPT
     )
     assert answer.whole
-    assert event_ids(answer.body) == [1, 2, 3, 4, 5, 6]
+    assert parse_event_ids(answer.body) == [1, 2, 3, 4, 5, 6]
     first, second = sorted(
         (run for each in engine_site.servers.values() for run in each.runs),
         key=lambda run: run.whole,
@@ -84,22 +84,24 @@
 
 
 def test_stream_that_may_not_be_resumed_is_cut(engine_site: GatewaySite):
-    break_all(engine_site, 'cut')
+    inject_fault(engine_site, 'cut')
     answer = engine_site.ask('/oneway/x', method='POST', **PROMPT)
     assert answer.status == 200
     assert not answer.whole
-    assert event_ids(answer.body) == [1, 2]
+    assert parse_event_ids(answer.body) == [1, 2]
     assert sum(len(each.runs) for each in engine_site.servers.values()) == 1
 
 
-def test_callers_resumption_reaches_the_engine(engine_site: GatewaySite):
+def test_last_event_id_of_the_caller_is_sent_to_the_engine(
+    engine_site: GatewaySite,
+):
     answer = engine_site.ask(
         '/stream/x', method='POST', Last_Event_Id='1', **PROMPT
     )
-    assert event_ids(answer.body) == [2, 3]
+    assert parse_event_ids(answer.body) == [2, 3]
 
 
-def test_prompts_that_share_a_part_meet_at_one_engine(
+def test_prompts_with_a_shared_part_go_to_one_engine(
     engine_site: GatewaySite,
 ):
     for number in range(6):
@@ -113,7 +115,9 @@
     assert counts == [0, 6]
 
 
-def test_gateways_agree_where_a_part_is(engine_site: GatewaySite):
+def test_gateways_send_a_shared_part_to_the_same_engine(
+    engine_site: GatewaySite,
+):
     engine_site.add_gateway()
     second = engine_site.gateways[1]
     wait_until(lambda: second.status()['peers'])
@@ -122,15 +126,17 @@
         'X_Prompt_Prefix': 'aa:5000,own:100',
     }
     engine_site.ask('/stream/x', method='POST', **prompt)
-    (home,) = [each for each in engine_site.servers.values() if each.runs]
-    wait_until(lambda: caches_part(second, home.name, 'aa'))
+    (caching_engine,) = [
+        each for each in engine_site.servers.values() if each.runs
+    ]
+    wait_until(lambda: caches_part(second, caching_engine.name, 'aa'))
     caller = engine_site.caller(1)
     caller.send('/stream/x', method='POST', **prompt)
     assert caller.receive().whole
-    assert len(home.runs) == 2
+    assert len(caching_engine.runs) == 2
 
 
-def test_failure_before_the_first_event_is_not_seen(engine_site: GatewaySite):
+def test_failure_before_the_first_event_is_retried(engine_site: GatewaySite):
     engine_site.servers['one'].faults = ['reset']
     engine_site.servers['two'].faults = []
     for number in range(4):
@@ -140,7 +146,7 @@
         assert answer.whole
 
 
-def test_part_is_found_in_a_large_pool(engine_site: GatewaySite):
+def test_cached_part_is_found_in_a_large_pool(engine_site: GatewaySite):
     names = [f'server-{number}' for number in range(70)]
     for name in names:
         engine_site.add_server(name, 'engines')
@@ -153,7 +159,9 @@
     assert sorted(counts)[-2:] == [0, 3]
 
 
-def test_engine_copies_what_another_keeps(gateway_site: GatewaySite):
+def test_idle_engine_copies_a_cached_part_from_another(
+    gateway_site: GatewaySite,
+):
     engine = gateway_site.config['services'][1]['engine']
     engine.update(kv_token_bytes=18_432, link_mbps=180_000, moves=True)
     gateway_site.write_config()
@@ -171,7 +179,7 @@
     assert run.headers['kv-fetch'] == keeper.address
 
 
-def test_urgent_route_is_spared_whatever_its_customers_priority(
+def test_urgent_route_is_admitted_for_all_customer_priorities(
     gateway_site: GatewaySite,
 ):
     gateway_site.config['routes'] = [
@@ -189,7 +197,7 @@
     assert gateway_site.ask('/urgent/x', **PROMPT).status == 200
 
 
-def test_callers_cannot_name_an_engine_to_copy_from(engine_site: GatewaySite):
+def test_caller_cannot_choose_the_engine_to_copy_from(engine_site: GatewaySite):
     engine_site.ask('/stream/x', method='POST', Kv_Fetch='10.0.0.1:1', **PROMPT)
     (run,) = [run for each in engine_site.servers.values() for run in each.runs]
     assert 'kv-fetch' not in run.headers
--- a/tests/test_prefix_cache.py
+++ b/tests/test_prefix_cache.py
@@ -1,4 +1,4 @@
-"""The model of an engine's memory of prompts."""
+"""The model of the prompt parts that an engine caches."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 def parts(*names: str, tokens: int = 100) -> list[PromptPart]:
-    """Make parts of equal length."""
+    """Return parts of equal length."""
     return [PromptPart(part_id=name, tokens=tokens) for name in names]
 
 
-def test_leading_parts_count():
+def test_only_leading_cached_parts_count():
     cache = PrefixCache()
     cache.note(parts('a', 'b'))
     assert cache.cached_tokens(parts('a', 'b', 'c')) == 200
     assert cache.cached_tokens(parts('x', 'b')) == 0
 
 
-def test_least_used_gives_way():
+def test_least_recently_used_part_is_evicted():
     cache = PrefixCache(capacity=250)
     cache.note(parts('a'))
     cache.note(parts('b'))
@@ -33,24 +33,24 @@
     assert cache.tokens == 200
 
 
-def test_recent_parts_come_latest_last():
+def test_recent_parts_end_with_the_latest():
     cache = PrefixCache()
     cache.note(parts('a', 'b', 'c'))
-    assert cache.recent(2) == [('b', 100), ('c', 100)]
+    assert cache.recent_parts(2) == [('b', 100), ('c', 100)]
 
 
-def test_part_is_being_read_until_it_is_read():
+def test_part_is_pending_until_its_prefill_is_confirmed():
     cache = PrefixCache()
     cache.note(parts('a'))
     cache.note(parts('a', 'b'), ready_ms=500)
-    pending = cache.pending_read(parts('a', 'b', 'c'), now_ms=300)
+    pending = cache.pending_prefill(parts('a', 'b', 'c'), now_ms=300)
     assert (pending.tokens, pending.ready_in_ms) == (100, 200)
-    cache.confirm_read(parts('a', 'b'))
-    assert cache.pending_read(parts('a', 'b'), now_ms=300).tokens == 0
+    cache.confirm_prefill(parts('a', 'b'))
+    assert cache.pending_prefill(parts('a', 'b'), now_ms=300).tokens == 0
     assert cache.cached_tokens(parts('a', 'b')) == 200
 
 
-def test_part_of_a_prompt_that_failed_is_not_kept():
+def test_part_of_a_failed_prompt_is_not_cached():
     cache = PrefixCache()
     cache.note(parts('a'))
     cache.note(parts('a', 'b'), ready_ms=500)
@@ -59,22 +59,22 @@
     assert cache.tokens == 100
 
 
-def test_part_that_gave_way_is_not_waited_for():
+def test_evicted_part_is_not_pending():
     cache = PrefixCache(capacity=150)
     cache.note(parts('a'), ready_ms=500)
     cache.note(parts('b'))
-    assert cache.pending_read(parts('a'), now_ms=0).tokens == 0
+    assert cache.pending_prefill(parts('a'), now_ms=0).tokens == 0
 
 
-NAMES = st.lists(st.sampled_from('abcdefgh'), max_size=4)
-STEPS = st.lists(
-    st.tuples(st.sampled_from(['note', 'unread', 'clear']), NAMES),
+PART_NAMES = st.lists(st.sampled_from('abcdefgh'), max_size=4)
+CACHE_STEPS = st.lists(
+    st.tuples(st.sampled_from(['note', 'unread', 'clear']), PART_NAMES),
     max_size=30,
 )
 
 
-@given(steps=STEPS)
-def test_index_names_the_engines_that_keep_a_part(
+@given(steps=CACHE_STEPS)
+def test_index_returns_the_engines_that_cache_a_part(
     steps: list[tuple[str, list[str]]],
 ):
     index = PartIndex()
@@ -91,15 +91,15 @@
         else:
             cache.clear()
     for part in parts(*'abcdefgh'):
-        keeping = {
+        caching = {
             engine
             for engine, cache in caches.items()
             if cache.cached_tokens([part])
         }
-        assert index.engines(part.part_id) == keeping
+        assert index.engines(part.part_id) == caching
 
 
-def test_engines_that_keep_the_most_of_a_prompt_are_named():
+def test_engines_with_the_longest_cached_prefix_are_returned():
     caches = PrefixCaches()
     for number in range(9):
         caches.find(f'i-{number}').note(parts('common'))
--- a/tests/test_request_blocks.py
+++ b/tests/test_request_blocks.py
@@ -1,4 +1,4 @@
-"""When a request that ends endpoints is refused, and when it is tried."""
+"""Tests for the blocking and the trials of requests that crash endpoints."""
 
 from __future__ import annotations
 
@@ -11,18 +11,20 @@
 
 REQUEST = b'r'
 POPULAR = b'popular'
-FIRST_TRY_MS = 60_000
-SECOND_TRY_MS = 600_000
+FIRST_TRIAL_MS = 60_000
+SECOND_TRIAL_MS = 600_000
 
 
-def crash(ledger: CrashLedger, clock: ManualClock, *names: str) -> None:
-    """Let the request end some endpoints."""
+def record_crashes(
+    ledger: CrashLedger, clock: ManualClock, *names: str
+) -> None:
+    """Record that the request crashes some endpoints."""
     for name in names:
         ledger.note_crash(
             EndpointCrash(
                 endpoint=name,
                 crashed_ms=clock.now_ms(),
-                told_by='g1',
+                reported_by='g1',
                 silent=[REQUEST],
             )
         )
@@ -30,30 +32,30 @@
 
 @pytest.fixture
 def ledger(clock: ManualClock) -> CrashLedger:
-    """Give an empty ledger."""
+    """Return an empty ledger."""
     return CrashLedger(clock=clock)
 
 
 @pytest.fixture
 def blocks(clock: ManualClock, ledger: CrashLedger) -> RequestBlocks:
-    """Give the blocks of the only gateway."""
+    """Return the request blocks of a single gateway."""
     return RequestBlocks(name='g1', clock=clock, ledger=ledger)
 
 
 def test_request_is_refused_after_three_crashes(
     blocks: RequestBlocks, ledger: CrashLedger, clock: ManualClock
 ):
-    crash(ledger, clock, 'e1', 'e2')
-    assert blocks.find(REQUEST) is None
-    crash(ledger, clock, 'e3')
-    block = blocks.find(REQUEST)
+    record_crashes(ledger, clock, 'e1', 'e2')
+    assert blocks.find_block(REQUEST) is None
+    record_crashes(ledger, clock, 'e3')
+    block = blocks.find_block(REQUEST)
     assert block is not None
-    assert block.retry_after_ms == FIRST_TRY_MS
-    assert blocks.find(b'other') is None
+    assert block.retry_after_ms == FIRST_TRIAL_MS
+    assert blocks.find_block(b'other') is None
     assert blocks.count == 1
 
 
-def test_requests_at_the_same_crashes_get_a_second(
+def test_tied_requests_are_sent_for_one_second(
     blocks: RequestBlocks, ledger: CrashLedger, clock: ManualClock
 ):
     other = b'was there too'
@@ -62,19 +64,19 @@
             EndpointCrash(
                 endpoint=name,
                 crashed_ms=clock.now_ms(),
-                told_by='g1',
+                reported_by='g1',
                 silent=[REQUEST, other],
             )
         )
-    assert blocks.find(REQUEST) is None
-    assert blocks.find(other) is None
-    # A good answer leaves one.
+    assert blocks.find_block(REQUEST) is None
+    assert blocks.find_block(other) is None
+    # A successful answer clears one of the two.
     ledger.note_served(other)
-    assert blocks.find(REQUEST)
-    assert blocks.find(other) is None
+    assert blocks.find_block(REQUEST)
+    assert blocks.find_block(other) is None
 
 
-def test_requests_that_nothing_tells_apart_are_refused_after_a_second(
+def test_tied_requests_are_refused_after_one_second(
     blocks: RequestBlocks, ledger: CrashLedger, clock: ManualClock
 ):
     for name in ('e1', 'e2', 'e3'):
@@ -82,158 +84,156 @@
             EndpointCrash(
                 endpoint=name,
                 crashed_ms=clock.now_ms(),
-                told_by='g1',
+                reported_by='g1',
                 silent=[REQUEST, b'was there too'],
             )
         )
     clock.advance(999)
-    assert blocks.find(REQUEST) is None
+    assert blocks.find_block(REQUEST) is None
     clock.advance(1)
-    assert blocks.find(REQUEST)
-    assert blocks.find(b'was there too')
+    assert blocks.find_block(REQUEST)
+    assert blocks.find_block(b'was there too')
 
 
-def crash_with(
+def record_crash(
     ledger: CrashLedger, clock: ManualClock, name: str, *requests: bytes
 ) -> None:
-    """Let an endpoint crash while some requests are there."""
+    """Record a crash of an endpoint with some requests."""
     ledger.note_crash(
         EndpointCrash(
             endpoint=name,
             crashed_ms=clock.now_ms(),
-            told_by='g1',
+            reported_by='g1',
             silent=requests,
         )
     )
 
 
-def crash_beside_a_lost_gateway(
-    ledger: CrashLedger, clock: ManualClock
-) -> None:
-    """Let three endpoints crash; at the third only a popular request is known.
+def record_incomplete_crash(ledger: CrashLedger, clock: ManualClock) -> None:
+    """Record three crashes; at the third only a popular request is known.
 
-    The gateway that had sent the crashing request there is lost before it
-    tells. No endpoint has answered the popular request yet.
+    The gateway that sent the crashing request there is lost before it reports
+    that. No endpoint has answered the popular request yet.
     """
     for name in ('e1', 'e2'):
-        crash_with(ledger, clock, name, REQUEST, POPULAR)
+        record_crash(ledger, clock, name, REQUEST, POPULAR)
         clock.advance(200)
-    crash_with(ledger, clock, 'e3', POPULAR)
+    record_crash(ledger, clock, 'e3', POPULAR)
     clock.advance(40)
     ledger.note_gateway_lost('g2')
 
 
-def test_crash_beside_a_lost_gateway_blames_nobody_before_a_good_answer(
+def test_incomplete_crash_does_not_block_popular_request(
     blocks: RequestBlocks, ledger: CrashLedger, clock: ManualClock
 ):
-    crash_beside_a_lost_gateway(ledger, clock)
-    assert blocks.find(POPULAR) is None
+    record_incomplete_crash(ledger, clock)
+    assert blocks.find_block(POPULAR) is None
     clock.advance(370)
-    assert blocks.find(POPULAR) is None
+    assert blocks.find_block(POPULAR) is None
     ledger.note_served(POPULAR)
     clock.advance(1000)
-    assert blocks.find(POPULAR) is None
+    assert blocks.find_block(POPULAR) is None
 
 
-def test_cause_is_found_at_the_next_crash_after_one_beside_a_lost_gateway(
+def test_cause_is_found_after_an_incomplete_crash(
     blocks: RequestBlocks, ledger: CrashLedger, clock: ManualClock
 ):
-    crash_beside_a_lost_gateway(ledger, clock)
+    record_incomplete_crash(ledger, clock)
     clock.advance(500)
-    crash_with(ledger, clock, 'e4', REQUEST, POPULAR)
+    record_crash(ledger, clock, 'e4', REQUEST, POPULAR)
     clock.advance(150)
-    assert blocks.find(REQUEST) is None
-    crash_with(ledger, clock, 'e5', REQUEST)
-    assert blocks.find(REQUEST)
-    assert blocks.find(POPULAR) is None
+    assert blocks.find_block(REQUEST) is None
+    record_crash(ledger, clock, 'e5', REQUEST)
+    assert blocks.find_block(REQUEST)
+    assert blocks.find_block(POPULAR) is None
 
 
-def test_cause_is_refused_though_its_gateways_are_lost_again_and_again(
+def test_repeated_gateway_losses_do_not_postpone_refusal(
     blocks: RequestBlocks, ledger: CrashLedger, clock: ManualClock
 ):
     for name in ('e1', 'e2', 'e3'):
-        crash_with(ledger, clock, name, REQUEST)
+        record_crash(ledger, clock, name, REQUEST)
         ledger.note_gateway_lost('g2')
         clock.advance(250)
-    assert blocks.find(REQUEST) is None
-    # Further such crashes do not put it off.
-    crash_with(ledger, clock, 'e4', REQUEST)
+    assert blocks.find_block(REQUEST) is None
+    # Further incomplete crashes do not postpone the refusal.
+    record_crash(ledger, clock, 'e4', REQUEST)
     ledger.note_gateway_lost('g2')
     clock.advance(750)
-    assert blocks.find(REQUEST)
+    assert blocks.find_block(REQUEST)
 
 
-def test_requests_at_the_same_crashes_are_refused_though_gateways_are_lost(
+def test_tied_requests_are_refused_despite_gateway_losses(
     blocks: RequestBlocks, ledger: CrashLedger, clock: ManualClock
 ):
     for name in ('e1', 'e2', 'e3'):
-        crash_with(ledger, clock, name, REQUEST, POPULAR)
+        record_crash(ledger, clock, name, REQUEST, POPULAR)
     for number in range(4):
-        assert blocks.find(REQUEST) is None
-        crash_with(ledger, clock, f'l{number}', REQUEST)
+        assert blocks.find_block(REQUEST) is None
+        record_crash(ledger, clock, f'l{number}', REQUEST)
         ledger.note_gateway_lost('g2')
         clock.advance(250)
-    assert blocks.find(REQUEST)
+    assert blocks.find_block(REQUEST)
 
 
-def test_gateway_that_started_after_the_crashes_waits_for_a_good_answer(
+def test_gateway_started_after_crashes_delays_refusal(
     ledger: CrashLedger, clock: ManualClock
 ):
-    # It can't tell which gateways were lost before its start.
+    # The gateway does not know which gateways were lost before its start.
     crashed_ms = clock.now_ms()
     clock.advance(400)
     started = RequestBlocks(name='g2', clock=clock, ledger=ledger)
     for name in ('e1', 'e2', 'e3'):
-        ledger.take_crash(
+        ledger.merge_crash(
             EndpointCrash(
                 endpoint=name,
                 crashed_ms=crashed_ms,
-                told_by='g1',
+                reported_by='g1',
                 silent=[REQUEST],
             )
         )
-    assert started.find(REQUEST) is None
+    assert started.find_block(REQUEST) is None
     clock.advance(600)
-    assert started.find(REQUEST)
+    assert started.find_block(REQUEST)
 
 
-def test_request_is_tried_once_after_a_minute(
+def test_blocked_request_gets_one_trial_after_a_minute(
     blocks: RequestBlocks, ledger: CrashLedger, clock: ManualClock
 ):
-    crash(ledger, clock, 'e1', 'e2', 'e3')
-    assert blocks.find(REQUEST)
-    clock.advance(FIRST_TRY_MS)
-    assert blocks.find(REQUEST) is None
+    record_crashes(ledger, clock, 'e1', 'e2', 'e3')
+    assert blocks.find_block(REQUEST)
+    clock.advance(FIRST_TRIAL_MS)
+    assert blocks.find_block(REQUEST) is None
     blocks.note_sent(REQUEST)
-    assert blocks.find(REQUEST)
+    assert blocks.find_block(REQUEST)
 
 
-def test_requests_beyond_the_bound_are_two_in_all(
+def test_blocked_request_gets_two_trials_at_most(
     blocks: RequestBlocks, ledger: CrashLedger, clock: ManualClock
 ):
-    crash(ledger, clock, 'e1', 'e2', 'e3')
-    tries = 0
+    record_crashes(ledger, clock, 'e1', 'e2', 'e3')
+    trials = 0
     for _second in range(3600):
         clock.advance(1000)
-        if blocks.find(REQUEST) is None:
+        if blocks.find_block(REQUEST) is None:
             blocks.note_sent(REQUEST)
-            tries += 1
-            crash(ledger, clock, f'tried-{tries}')
-    assert tries == 2
+            trials += 1
+            record_crashes(ledger, clock, f'tried-{trials}')
+    assert trials == 2
 
 
-def test_request_that_was_served_in_its_try_is_free_again(
+def test_request_served_in_its_trial_is_unblocked(
     blocks: RequestBlocks, ledger: CrashLedger, clock: ManualClock
 ):
-    crash(ledger, clock, 'e1', 'e2', 'e3')
-    clock.advance(FIRST_TRY_MS)
+    record_crashes(ledger, clock, 'e1', 'e2', 'e3')
+    clock.advance(FIRST_TRIAL_MS)
     blocks.note_sent(REQUEST)
     ledger.note_served(REQUEST)
-    assert blocks.find(REQUEST) is None
+    assert blocks.find_block(REQUEST) is None
     assert blocks.count == 0
 
 
-def test_one_gateway_tries_of_all_that_hear_each_other(
+def test_only_one_connected_gateway_makes_the_trial(
     ledger: CrashLedger, clock: ManualClock
 ):
     names = [f'g{number}' for number in range(5)]
@@ -242,10 +242,10 @@
     ]
     for gateway in gateways:
         gateway.set_peers(names)
-    crash(ledger, clock, 'e1', 'e2', 'e3')
-    clock.advance(FIRST_TRY_MS)
-    trying = [each for each in gateways if each.find(REQUEST) is None]
-    assert len(trying) == 1
+    record_crashes(ledger, clock, 'e1', 'e2', 'e3')
+    clock.advance(FIRST_TRIAL_MS)
+    allowing = [each for each in gateways if each.find_block(REQUEST) is None]
+    assert len(allowing) == 1
 
 
 def test_call_without_a_fingerprint_is_never_refused(
@@ -254,7 +254,7 @@
     for name in ('e1', 'e2', 'e3'):
         ledger.note_crash(
             EndpointCrash(
-                endpoint=name, crashed_ms=0, told_by='g1', silent=[b'']
+                endpoint=name, crashed_ms=0, reported_by='g1', silent=[b'']
             )
         )
-    assert blocks.find(b'') is None
+    assert blocks.find_block(b'') is None
--- a/tests/test_sized_rates.py
+++ b/tests/test_selected_rates.py
@@ -1,4 +1,4 @@
-"""Rates that are learned apart in small pools and together in large ones."""
+"""Prefill rates that are local in small pools and shared in large ones."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 
 POOL = 'engines'
-# As another gateway tells it: tenths of a token a millisecond.
-TOLD = [1500, 1500, 1500]
-TOLD_RATE = 150
-FIRST_RATE = 25
-LARGE = 9
+# Reported by another gateway, in tenths of a token per millisecond.
+REPORTED_RATES = [1500, 1500, 1500]
+REPORTED_RATE = 150
+INITIAL_TOKENS_PER_MS = 25
+LARGE_POOL = 9
 
 
 @pytest.fixture(name='clock')
@@ -28,13 +28,13 @@
     return EndpointKnowledge(
         clock=clock,
         rates=SharedRates(clock=clock),
-        starts=CorrectedEstimates(),
-        large_pool=LARGE,
+        start_estimates=CorrectedEstimates(),
+        large_pool=LARGE_POOL,
     )
 
 
 def list_engines(knowledge: EndpointKnowledge, count: int) -> None:
-    """Let the store list so many engines."""
+    """Put the given number of engines into the endpoint table."""
     for number in range(count):
         knowledge.table.put(
             PoolEndpoint(
@@ -50,47 +50,48 @@
 
 
 @pytest.mark.parametrize(
-    ('count', 'rate'), [(LARGE - 1, FIRST_RATE), (LARGE, TOLD_RATE)]
+    ('count', 'rate'),
+    [(LARGE_POOL - 1, INITIAL_TOKENS_PER_MS), (LARGE_POOL, REPORTED_RATE)],
 )
-def test_readings_of_others_count_in_large_pools_alone(
+def test_reported_samples_count_only_in_large_pools(
     knowledge: EndpointKnowledge, count: int, rate: float
 ):
     list_engines(knowledge, count)
-    knowledge.take_readings('i-0', TOLD)
+    knowledge.merge_rate_samples('i-0', REPORTED_RATES)
     assert knowledge.speed('i-0').rate.tokens_per_ms == rate
 
 
-def test_pool_that_grows_counts_as_large_soon(
+def test_growing_pool_soon_uses_shared_rates(
     knowledge: EndpointKnowledge, clock: ManualClock
 ):
-    list_engines(knowledge, LARGE - 1)
-    knowledge.take_readings('i-0', TOLD)
+    list_engines(knowledge, LARGE_POOL - 1)
+    knowledge.merge_rate_samples('i-0', REPORTED_RATES)
     speed = knowledge.speed('i-0')
-    assert speed.rate.tokens_per_ms == FIRST_RATE
-    list_engines(knowledge, LARGE)
+    assert speed.rate.tokens_per_ms == INITIAL_TOKENS_PER_MS
+    list_engines(knowledge, LARGE_POOL)
     clock.advance(500)
-    assert speed.rate.tokens_per_ms == TOLD_RATE
+    assert speed.rate.tokens_per_ms == REPORTED_RATE
 
 
 def test_estimates_of_a_small_pool_are_not_corrected(
     knowledge: EndpointKnowledge, clock: ManualClock
 ):
-    list_engines(knowledge, LARGE - 1)
+    list_engines(knowledge, LARGE_POOL - 1)
     assert knowledge.expected_start_ms(POOL, 0, 100) == 100
-    list_engines(knowledge, LARGE)
+    list_engines(knowledge, LARGE_POOL)
     clock.advance(500)
     assert knowledge.expected_start_ms(POOL, 0, 100) > 100
 
 
-def test_engine_that_was_heard_of_before_it_was_listed_joins_its_pool(
+def test_engine_known_before_it_is_listed_joins_its_pool(
     knowledge: EndpointKnowledge, clock: ManualClock
 ):
     speed = knowledge.speed('i-0')
-    assert speed.rate.tokens_per_ms == FIRST_RATE
-    list_engines(knowledge, LARGE)
+    assert speed.rate.tokens_per_ms == INITIAL_TOKENS_PER_MS
+    list_engines(knowledge, LARGE_POOL)
     clock.advance(500)
-    knowledge.take_readings('i-0', TOLD)
-    assert speed.rate.tokens_per_ms == TOLD_RATE
+    knowledge.merge_rate_samples('i-0', REPORTED_RATES)
+    assert speed.rate.tokens_per_ms == REPORTED_RATE
 
 
 @pytest.mark.parametrize(
@@ -98,18 +99,18 @@
     [({}, False), ({POOL: 300}, False), ({POOL: 250}, True)],
     ids=['none', 'long gaps', 'short gaps'],
 )
-def test_pool_without_short_gaps_is_judged_as_before(
+def test_pool_without_short_gaps_uses_own_rates(
     clock: ManualClock, asked_ms: dict[str, int], *, together: bool
 ):
     knowledge = EndpointKnowledge(
         clock=clock,
         rates=SharedRates(clock=clock),
-        large_pool=LARGE,
+        large_pool=LARGE_POOL,
         short_gap_ms=250,
     )
-    knowledge.note_gaps(asked_ms)
-    list_engines(knowledge, LARGE)
-    assert knowledge.judges_together(POOL) == together
-    knowledge.take_readings('i-0', TOLD)
-    rate = TOLD_RATE if together else FIRST_RATE
+    knowledge.set_shortest_gaps(asked_ms)
+    list_engines(knowledge, LARGE_POOL)
+    assert knowledge.shares_estimates(POOL) == together
+    knowledge.merge_rate_samples('i-0', REPORTED_RATES)
+    rate = REPORTED_RATE if together else INITIAL_TOKENS_PER_MS
     assert knowledge.speed('i-0').rate.tokens_per_ms == rate
--- a/tests/test_start_figures.py
+++ b/tests/test_start_figures.py
@@ -1,4 +1,4 @@
-"""What operators see of estimates of first events."""
+"""Errors of first event estimates on the status page and in metrics."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 
 def make_estimates() -> StartEstimates:
-    """Make estimates of which most held and two were off."""
+    """Create estimates of which eight are exact and two too low."""
     starts = StartEstimates()
-    for came_ms in (100, 100, 100, 100, 100, 100, 100, 100, 250, 250):
-        starts.note('engines', 2, 100, came_ms)
+    for actual_ms in (100, 100, 100, 100, 100, 100, 100, 100, 250, 250):
+        starts.note('engines', 2, 100, actual_ms)
     return starts
 
 
-def test_errors_are_listed_by_pool_and_tier():
+def test_start_errors_are_listed_by_pool_and_tier():
     assert list_start_errors(make_estimates()) == [
         {'pool': 'engines', 'tier': 2, 'median': 1, 'worst_tenth': 2.5}
     ]
     assert not list_start_errors(StartEstimates())
 
 
-def test_errors_are_a_metric():
+def test_start_errors_are_a_metric():
     metrics = Metrics()
     set_start_errors(metrics, make_estimates())
-    shown = metrics.render().decode()
+    rendered = metrics.render().decode()
     assert (
         'wingfall_start_error{part="worst_tenth",pool="engines",tier="2"} 2.5'
-        in shown
+        in rendered
     )
--- a/tests/test_token_gap_watch.py
+++ b/tests/test_token_gap_watch.py
@@ -1,4 +1,4 @@
-"""Pauses of a stream and what was read beside it."""
+"""Token gaps of a stream and the prefill load during them."""
 
 from __future__ import annotations
 
@@ -15,42 +15,42 @@
     clock: ManualClock,
     **changes: object,
 ) -> TokenGapWatch:
-    """Watch a stream of engine e1."""
-    known = {'endpoint': 'e1', 'load': load, 'speed': EngineSpeed(), **changes}
-    return TokenGapWatch(clock=clock, **known)
+    """Create a watch for a stream of engine e1."""
+    args = {'endpoint': 'e1', 'load': load, 'speed': EngineSpeed(), **changes}
+    return TokenGapWatch(clock=clock, **args)
 
 
-def test_longest_pause_is_kept_with_what_was_read_beside_it(
+def test_longest_gap_is_recorded_with_pending_prefill_tokens(
     clock: ManualClock,
 ):
     load = LoadTable()
     watch = make_watch(load, clock)
     watch.note_event()
-    assert watch.longest_ms is None
+    assert watch.longest_gap_ms is None
     clock.advance(30)
     watch.note_event()
-    entry = load.start('e1', EndpointLoad(running=1, reading_tokens=9000))
+    entry = load.start('e1', EndpointLoad(running=1, prefill_tokens=9000))
     clock.advance(220)
     watch.note_event()
     entry.begin_output()
     clock.advance(40)
     watch.note_event()
-    assert watch.longest_ms == 220
-    assert watch.longest_reading_tokens == 9000
+    assert watch.longest_gap_ms == 220
+    assert watch.longest_gap_prefill_tokens == 9000
 
 
-def test_read_that_ended_in_the_pause_counts(clock: ManualClock):
+def test_prefill_that_ended_during_the_gap_counts(clock: ManualClock):
     load = LoadTable()
     watch = make_watch(load, clock)
-    entry = load.start('e1', EndpointLoad(running=1, reading_tokens=5000))
+    entry = load.start('e1', EndpointLoad(running=1, prefill_tokens=5000))
     watch.note_event()
     clock.advance(120)
     entry.begin_output()
     watch.note_event()
-    assert watch.longest_reading_tokens == 5000
+    assert watch.longest_gap_prefill_tokens == 5000
 
 
-def test_speed_learns_pauses_without_reads_at_once(clock: ManualClock):
+def test_gaps_without_prefill_update_speed_at_once(clock: ManualClock):
     speed = EngineSpeed()
     watch = make_watch(LoadTable(), clock, speed=speed)
     for _event in range(300):
@@ -59,11 +59,11 @@
     assert speed.idle_gap_ms == pytest.approx(20, abs=1)
 
 
-def test_speed_learns_the_longest_pause_at_the_end(clock: ManualClock):
+def test_longest_gap_updates_speed_at_end_of_stream(clock: ManualClock):
     load = LoadTable()
     speed = EngineSpeed(tokens_per_ms=40)
     watch = make_watch(load, clock, speed=speed)
-    load.start('e1', EndpointLoad(running=1, reading_tokens=50_000))
+    load.start('e1', EndpointLoad(running=1, prefill_tokens=50_000))
     watch.note_event()
     for gap_ms in (30, 200, 30):
         clock.advance(gap_ms)
--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -14,7 +14,7 @@
 from wingfall.clock import MS_PER_S
 from wingfall.gateway.assembly import make_state
 from wingfall.gateway.callers.caller_server import CallerServer
-from wingfall.gateway.callers.readiness import make_ready_app
+from wingfall.gateway.callers.readiness import make_readiness_app
 from wingfall.gateway.configuration.follower import StoreFollower
 from wingfall.gateway.configuration.object_applier import ObjectApplier
 from wingfall.gateway.configuration.replica import (
@@ -24,7 +24,7 @@
 )
 from wingfall.gateway.duties.assembly import GatewayDuties
 from wingfall.gateway.knowledge.start_figures import set_start_errors
-from wingfall.gateway.peers.caches.memory_survey import MemorySurvey
+from wingfall.gateway.peers.caches.memory_survey import CacheSurvey
 from wingfall.gateway.peers.caches.parts_transfer import PartsTransfer
 from wingfall.gateway.peers.duty_exchange import DutyExchange
 from wingfall.gateway.peers.gateway_peers import GatewayPeers
@@ -117,7 +117,7 @@
             replicas=self._replicas,
             transfer=self._transfer,
             supervisor=self._supervisor,
-            watches=self._watches,
+            is_watching=self._watches,
             duties=self._duties
             and DutyExchange(
                 clock=self._clock,
@@ -127,9 +127,9 @@
             ),
         )
         self._ready_server = HttpServer(
-            app=make_ready_app(
+            app=make_readiness_app(
                 path=self._state.binding.ready_path,
-                not_ready=self.not_ready,
+                not_ready_reason=self.not_ready,
             ),
             address=parse_address(settings.readiness),
         )
@@ -161,7 +161,7 @@
         :param settings: the checked settings.
         """
         self._settings.limits = settings.limits
-        self._peers.learn(settings.peers.seeds)
+        self._peers.add_addresses(settings.peers.seeds)
         self._state.budget.set_bounds(
             settings.resend.ratio,
             settings.resend.slack,
@@ -182,7 +182,7 @@
             self._supervisor.start('duties', body)
         self._ready_server.start()
         self._supervisor.spawn(self._start_accepting)
-        survey = MemorySurvey(
+        survey = CacheSurvey(
             name=self._settings.name,
             clock=self._clock,
             knowledge=self._state.knowledge,
@@ -196,18 +196,18 @@
 
     def drain(self) -> None:
         """Take no new work, and wait until what there is has ended."""
-        log_event('gateway', 'Stopping.', calls=self._callers.calls)
+        log_event('gateway', 'Stopping.', calls=self._callers.active_calls)
         self._state.draining = True
-        self._peers.leave()
+        self._peers.announce_stop()
         schedule = StopSchedule(stop_s=self._settings.limits.stop_s)
         deadline_ms = self._clock.now_ms() + schedule.end_ms
         gevent.sleep(schedule.serve_ms / MS_PER_S)
         self._callers.stop_accepting()
         while not self._callers.is_empty and self._clock.now_ms() < deadline_ms:
-            self._callers.close_idle()
+            self._callers.close_idle_connections()
             gevent.sleep(_POLL_MS / MS_PER_S)
-        self._peers.tell_last_counts()
-        log_event('gateway', 'Stopped.', calls=self._callers.calls)
+        self._peers.send_final_counts()
+        log_event('gateway', 'Stopped.', calls=self._callers.active_calls)
 
     def close(self) -> None:
         """End everything now."""
@@ -238,7 +238,7 @@
             name=self._settings.name,
             state=self._state,
             peers=self._peers.names,
-            calls=self._callers.calls,
+            calls=self._callers.active_calls,
             duties=self._duties.status() if self._duties else None,
         )
 
@@ -250,7 +250,7 @@
             clock=self._clock,
             metrics=self._metrics,
             binding=self._state.binding,
-            look=lambda: self._peers.view.look(),
+            look=lambda: self._peers.view.snapshot(),
             is_stopping=lambda: self._state.draining,
         )
         self._state.usage = duties.counts
@@ -266,7 +266,7 @@
             replica=replica,
             clock=self._clock,
             holds_watch=lambda: self._peers.view.holds_watch,
-            leads=lambda: self._peers.view.leads,
+            leads=lambda: self._peers.view.is_among_first,
         )
 
     def _start_accepting(self) -> None:
@@ -284,7 +284,9 @@
         while not self._supervisor.stopped:
             gevent.sleep(_FORGET_MS / MS_PER_S)
             self._state.knowledge.forget_departed()
-            set_start_errors(self._metrics, self._state.knowledge.starts)
+            set_start_errors(
+                self._metrics, self._state.knowledge.start_estimates
+            )
             names = self._state.knowledge.table.names
-            self._state.connections.forget(names)
-            self._state.gate.forget(names)
+            self._state.connections.retain_only(names)
+            self._state.gate.retain_only(names)
--- a/wingfall/gateway/assembly.py
+++ b/wingfall/gateway/assembly.py
@@ -5,14 +5,14 @@
 from typing import TYPE_CHECKING, Any, Final
 
 from wingfall.clock import MS_PER_S
-from wingfall.gateway.endpoints.crash_watch import CrashWatch
-from wingfall.gateway.endpoints.kept_connections import KeptConnections
+from wingfall.gateway.endpoints.connection_cache import ConnectionCache
+from wingfall.gateway.endpoints.crash_detector import CrashDetector
 from wingfall.gateway.endpoints.sending_gate import SendingGate
 from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
 from wingfall.gateway.knowledge.full_gaps import FullGaps
 from wingfall.gateway.model.binding import bindings
 from wingfall.gateway.rules.crashes.request_blocks import RequestBlocks
-from wingfall.gateway.rules.placement.engine_groups import keep_none
+from wingfall.gateway.rules.placement.engine_groups import reserve_none
 from wingfall.gateway.rules.policies import find_policies
 from wingfall.gateway.rules.retries.retry_budget import RetryBudget
 from wingfall.gateway.state import GatewayState
@@ -60,10 +60,12 @@
         clock=clock,
         name=settings.name,
         rates=rates,
-        starts=policies.start_estimates(fixed_time=rates.fixed_ms),
+        start_estimates=policies.start_estimates(
+            get_fixed_overhead_ms=rates.fixed_overhead_ms
+        ),
         full_gaps=FullGaps(
             clock=clock,
-            tells=policies.engine_groups is not keep_none,
+            reports_gaps=policies.engine_groups is not reserve_none,
         ),
         large_pool=settings.policy.large_pool,
         short_gap_ms=settings.policy.short_gap_ms,
@@ -87,14 +89,14 @@
             window_ms=int(settings.resend.window_s * MS_PER_S),
         ),
         knowledge=knowledge,
-        connections=KeptConnections(clock=clock, gate=gate),
+        connections=ConnectionCache(clock=clock, gate=gate),
         gate=gate,
         blocks=RequestBlocks(
             name=settings.name,
             clock=clock,
             ledger=knowledge.crashes,
         ),
-        crash_watch=CrashWatch(
+        crash_detector=CrashDetector(
             name=settings.name,
             clock=clock,
             knowledge=knowledge,
--- a/wingfall/gateway/configuration/object_applier.py
+++ b/wingfall/gateway/configuration/object_applier.py
@@ -13,7 +13,7 @@
 
 from wingfall.errors import ObjectFault
 from wingfall.gateway.configuration.replica import ENDPOINTS_KIND, ROUTES_KIND
-from wingfall.gateway.knowledge.endpoint_lives import Incarnation
+from wingfall.gateway.knowledge.endpoint_incarnations import EntryStatus
 from wingfall.log import log_event
 
 if TYPE_CHECKING:
@@ -58,7 +58,7 @@
         if in_force is not None and routes.version <= in_force.version:
             return
         self._state.routes = routes
-        self._state.knowledge.note_gaps(routes.shortest_gaps_ms)
+        self._state.knowledge.set_shortest_gaps(routes.shortest_gaps_ms)
         # Entries may have come before the configuration that tells of memory.
         for endpoint in self._state.knowledge.table.listed:
             self._set_cache_capacity(endpoint)
@@ -90,17 +90,17 @@
         self._put_endpoint(read.unwrap())
 
     def _put_endpoint(self, endpoint: PoolEndpoint) -> None:
-        match self._state.knowledge.lives.note(endpoint):
-            case Incarnation.newest:
+        match self._state.knowledge.incarnations.note(endpoint):
+            case EntryStatus.newest:
                 self._state.knowledge.table.put(endpoint)
                 self._set_cache_capacity(endpoint)
-            case Incarnation.earlier:
+            case EntryStatus.earlier:
                 log_event(
                     'endpoints',
                     'An entry of an earlier start changes nothing.',
                     endpoint=endpoint.name,
                 )
-            case Incarnation.untold:
+            case EntryStatus.untold:
                 reason = 'the endpoint has told its start before'
                 fault = ObjectFault(field='born', reason=reason)
                 self._refuse_endpoint(endpoint.instance, fault)
--- a/wingfall/gateway/duties/usage_duty.py
+++ b/wingfall/gateway/duties/usage_duty.py
@@ -87,7 +87,7 @@
 
     def _drop_late(self) -> None:
         late = self._counts.next_window
-        while self._counts.end_ms(late) > self._terms.late_ms:
+        while self._counts.ms_since_end(late) > self._terms.late_ms:
             log_event(
                 'usage',
                 'A window was not reported in time.',
@@ -95,18 +95,18 @@
                 held=self._lease.held,
             )
             self._metrics.decisions.inc({'part': 'usage', 'reason': 'late'})
-            self._counts.delivered = late
+            self._counts.delivered_window = late
             late += 1
 
     def _find_due(self) -> list[int]:
         return [
             window
             for window in range(self._counts.next_window, self._counts.window)
-            if self._counts.end_ms(window) >= _SETTLE_MS
+            if self._counts.ms_since_end(window) >= _SETTLE_MS
         ]
 
     def _stand(self, window: int) -> bool:
-        waited_ms = self._counts.end_ms(window) - _SETTLE_MS
+        waited_ms = self._counts.ms_since_end(window) - _SETTLE_MS
         if not self._standing.steps_in(waited_ms):
             return False
         # What its holder has done meanwhile is news to this gateway.
@@ -118,7 +118,7 @@
         decided = window <= record.decided
         if decided and window not in record.reports:
             # Its holder delivered it before it decided later ones.
-            self._counts.delivered = window
+            self._counts.delivered_window = window
             return False
         if not self._standing.replaces(record, unchanged_ms, decided=decided):
             return False
@@ -143,17 +143,17 @@
         reports = {
             window: counts
             for window, counts in record.reports.items()
-            if window > self._counts.delivered
+            if window > self._counts.delivered_window
         }
         for window in undecided:
-            reports[window] = self._counts.sum(window)
+            reports[window] = self._counts.window_totals(window)
         return self._lease.commit(reports, undecided[-1])
 
     def _deliver(self, window: int) -> bool:
         counts = self._lease.record.reports.get(window)
         if counts is None:
             # Its holder has delivered it before it decided later ones.
-            self._counts.delivered = window
+            self._counts.delivered_window = window
             return True
         act_ms = self._lease.act_ms
         if act_ms < _LEAST_ACT_MS:
@@ -174,10 +174,10 @@
             token=self._lease.fence.token,
             requests=sum(counts.values()),
             customers=len(counts),
-            ended_ms=self._counts.end_ms(window),
+            ended_ms=self._counts.ms_since_end(window),
             ms=self._clock.now_ms() - started_ms,
             reason='' if done else str(sent.failure()),
         )
         if done:
-            self._counts.delivered = window
+            self._counts.delivered_window = window
         return done
--- /dev/null
+++ b/wingfall/gateway/endpoints/connection_cache.py
@@ -0,0 +1,117 @@
+"""Cache of idle connections to endpoints.
+
+The cache owns connections between two requests. A cached connection may be
+broken without notice, so requests that must not be repeated use a new one.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, final
+
+from wingfall.gateway.endpoints.endpoint_connection import (
+    EndpointWithheldError,
+    connect,
+)
+
+if TYPE_CHECKING:
+    from wingfall.clock import Clock
+    from wingfall.gateway.endpoints.endpoint_connection import (
+        EndpointConnection,
+    )
+    from wingfall.gateway.endpoints.sending_gate import SendingGate
+    from wingfall.gateway.model.pool_endpoint import PoolEndpoint
+
+
+@final
+class ConnectionCache:
+    """Idle connections to endpoints; the newest is reused first."""
+
+    __slots__ = ('_clock', '_gate', '_idle')
+
+    def __init__(self, *, clock: Clock, gate: SendingGate) -> None:
+        """Create an empty cache.
+
+        :param clock: clock of this gateway.
+        :param gate: gate that decides whether an endpoint takes a request now.
+        """
+        self._clock = clock
+        self._gate = gate
+        self._idle: dict[str, list[EndpointConnection]] = {}
+
+    def acquire(
+        self,
+        endpoint: PoolEndpoint,
+        *,
+        timeout_ms: int,
+        allow_reuse: bool,
+    ) -> EndpointConnection:
+        """Return a connection to an endpoint for a request to be sent now.
+
+        :param endpoint: endpoint to connect to.
+        :param timeout_ms: maximum milliseconds to establish a new connection.
+        :param allow_reuse: whether an idle connection may be reused.
+        :returns: a connection, owned by the caller.
+        :raises NotConnectedError: if the connection can't be established.
+        :raises EndpointWithheldError: if the endpoint takes no request now.
+        """
+        # Every request to an endpoint passes here, so its limits also count
+        # retries, resumed streams and requests of the gateway itself.
+        withheld = self._gate.withheld_reason(endpoint.name)
+        if withheld is not None:
+            raise EndpointWithheldError(withheld)
+        connection = self._reuse_or_connect(
+            endpoint, timeout_ms, allow_reuse=allow_reuse
+        )
+        # A signal of the endpoint may have arrived during the connect.
+        withheld = self._gate.acquire(endpoint.name)
+        if withheld is not None:
+            connection.close()
+            raise EndpointWithheldError(withheld)
+        return connection
+
+    def release(
+        self,
+        endpoint: PoolEndpoint,
+        connection: EndpointConnection,
+    ) -> None:
+        """Cache a connection after a complete answer, or close it.
+
+        :param endpoint: endpoint of the connection.
+        :param connection: connection that is no longer in use.
+        """
+        if connection.release():
+            self._idle.setdefault(endpoint.name, []).append(connection)
+        else:
+            connection.close()
+
+    def retain_only(self, listed: set[str]) -> None:
+        """Close expired connections and those to unlisted endpoints.
+
+        :param listed: names of the listed endpoints.
+        """
+        for name in self._idle.keys() - listed:
+            for connection in self._idle.pop(name):
+                connection.close()
+        for idle in self._idle.values():
+            self._close_expired(idle)
+
+    def _reuse_or_connect(
+        self,
+        endpoint: PoolEndpoint,
+        timeout_ms: int,
+        *,
+        allow_reuse: bool,
+    ) -> EndpointConnection:
+        idle = self._idle.get(endpoint.name, [])
+        while allow_reuse and idle:
+            connection = idle.pop()
+            if connection.is_reusable:
+                return connection
+            connection.close()
+        return connect(endpoint, self._clock, timeout_ms)
+
+    def _close_expired(self, idle: list[EndpointConnection]) -> None:
+        expired = [each for each in idle if not each.is_reusable]
+        for connection in expired:
+            idle.remove(connection)
+            connection.close()
--- /dev/null
+++ b/wingfall/gateway/endpoints/crash_detector.py
@@ -0,0 +1,172 @@
+"""Detection of crashed endpoints and of the requests that ran on them.
+
+A broken connection may only mean a lost answer. So after requests at an
+endpoint break, the gateway opens a new connection to it. An endpoint that
+refuses the connection, or closes it at once, has ended with all requests on it.
+An endpoint that is leaving as planned has not crashed.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Final, final
+
+import gevent
+
+from wingfall.clock import MS_PER_S
+from wingfall.gateway.endpoints.endpoint_probe import closes_connections
+from wingfall.gateway.model.endpoint_crash import EndpointCrash
+from wingfall.log import log_event
+
+if TYPE_CHECKING:
+    from wingfall.clock import Clock
+    from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
+    from wingfall.gateway.model.fingerprint import Fingerprint
+    from wingfall.gateway.model.pool_endpoint import PoolEndpoint
+    from wingfall.metrics import Metrics
+
+# All calls at a crashed endpoint break within this time: a network round trip
+# and a busy iteration of the event loop.
+_COLLECTION_DELAY_MS: Final = 20
+# A request with at least this much output is no suspect: it ran without fault
+# for many steps of the engine.
+_MAX_SUSPECT_OUTPUT_MS: Final = 1000
+# An abandoned request may still start at its endpoint within this time. Most
+# endpoints drop it at once.
+_ABANDONED_RETENTION_MS: Final = 2000
+# Covers two seconds in which all callers of a busy gateway give up.
+_MAX_ABANDONED: Final = 256
+
+
+@final
+class _BrokenRequests:
+    """Requests that broke at an endpoint since its last check."""
+
+    __slots__ = ('first_broken_ms', 'silent', 'streaming')
+
+    def __init__(self, *, first_broken_ms: int) -> None:
+        """Create an empty collection.
+
+        :param first_broken_ms: time of the first broken connection.
+        """
+        self.first_broken_ms = first_broken_ms
+        self.silent: set[Fingerprint] = set()
+        self.streaming: set[Fingerprint] = set()
+
+
+@final
+class CrashDetector:
+    """Collects broken requests and checks their endpoints for a crash."""
+
+    __slots__ = (
+        '_clock',
+        '_knowledge',
+        '_abandoned',
+        '_metrics',
+        '_name',
+        '_broken',
+    )
+
+    def __init__(
+        self,
+        *,
+        name: str,
+        clock: Clock,
+        knowledge: EndpointKnowledge,
+        metrics: Metrics,
+    ) -> None:
+        """Create a detector without broken requests.
+
+        :param name: name of this gateway.
+        :param clock: clock of this gateway.
+        :param knowledge: state in which crashes are recorded.
+        :param metrics: metrics in which crashes are counted.
+        """
+        self._name = name
+        self._clock = clock
+        self._knowledge = knowledge
+        self._metrics = metrics
+        self._broken: dict[str, _BrokenRequests] = {}
+        # Requests abandoned before their first output: time, endpoint, request.
+        self._abandoned: list[tuple[int, str, Fingerprint]] = []
+
+    def note_broken(
+        self,
+        endpoint: PoolEndpoint,
+        fingerprint: Fingerprint,
+        output_ms: int | None,
+    ) -> None:
+        """Record a connection that broke before the end of an answer.
+
+        :param endpoint: endpoint of the connection.
+        :param fingerprint: request on the connection.
+        :param output_ms: milliseconds since the first output of the request,
+            None without output.
+        """
+        broken = self._broken.get(endpoint.name)
+        if broken is None:
+            broken = _BrokenRequests(first_broken_ms=self._clock.now_ms())
+            self._broken[endpoint.name] = broken
+            gevent.spawn(self._check_endpoint, endpoint)
+        if output_ms is None:
+            broken.silent.add(fingerprint)
+        elif output_ms < _MAX_SUSPECT_OUTPUT_MS:
+            broken.streaming.add(fingerprint)
+
+    def note_abandoned(
+        self,
+        endpoint: PoolEndpoint,
+        fingerprint: Fingerprint,
+    ) -> None:
+        """Record a request that was abandoned before its first output.
+
+        :param endpoint: endpoint at which the request may still start.
+        :param fingerprint: the abandoned request.
+        """
+        self._abandoned = self._recently_abandoned()[1 - _MAX_ABANDONED :]
+        abandoned = (self._clock.now_ms(), endpoint.name, fingerprint)
+        self._abandoned.append(abandoned)
+
+    def _recently_abandoned(self) -> list[tuple[int, str, Fingerprint]]:
+        oldest_ms = self._clock.now_ms() - _ABANDONED_RETENTION_MS
+        return [each for each in self._abandoned if each[0] >= oldest_ms]
+
+    def _check_endpoint(self, endpoint: PoolEndpoint) -> None:
+        gevent.sleep(_COLLECTION_DELAY_MS / MS_PER_S)
+        crashed = self._has_crashed(endpoint)
+        broken = self._broken.pop(endpoint.name)
+        if not crashed:
+            return
+        broken.silent.update(
+            fingerprint
+            for _abandoned_ms, name, fingerprint in self._recently_abandoned()
+            if name == endpoint.name
+        )
+        self._knowledge.crashes.note_crash(
+            EndpointCrash(
+                endpoint=endpoint.name,
+                crashed_ms=broken.first_broken_ms,
+                reported_by=self._name,
+                silent=broken.silent,
+                streaming=broken.streaming - broken.silent,
+            ),
+        )
+        self._metrics.decisions.inc({'part': 'crash', 'reason': 'seen'})
+        log_event(
+            'crash',
+            'An endpoint has crashed.',
+            endpoint=endpoint.name,
+            pool=endpoint.pool,
+            seen_ms=self._clock.now_ms() - broken.first_broken_ms,
+            requests=sorted(each.hex() for each in broken.silent),
+            streaming=len(broken.streaming),
+        )
+
+    def _has_crashed(self, endpoint: PoolEndpoint) -> bool:
+        listed = self._knowledge.table.find(endpoint.name)
+        if listed is not None and listed.draining:
+            return False
+        if endpoint.name in self._knowledge.signals.leaving:
+            return False
+        if self._knowledge.incarnations.is_superseded(endpoint):
+            return True
+        return closes_connections(endpoint)
--- a/wingfall/gateway/knowledge/own_rates.py
+++ b/wingfall/gateway/knowledge/own_rates.py
@@ -1,10 +1,10 @@
-"""How fast engines read, by what this gateway alone has seen."""
+"""Prefill rates of engines, estimated from this gateway's samples."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Any, final
 
-from wingfall.gateway.knowledge.engine_speed import ReadRate
+from wingfall.gateway.knowledge.engine_speed import PrefillRate
 
 if TYPE_CHECKING:
     from wingfall.clock import Clock
@@ -12,47 +12,47 @@
 
 @final
 class OwnRates:
-    """Rates that each gateway learns by itself, as the baseline."""
+    """Rates that each gateway estimates by itself, the baseline."""
 
     __slots__ = ('_by_engine', '_by_pool')
 
     def __init__(self, *, clock: Clock | None = None) -> None:
-        """Start without a reading.
+        """Create rates without samples.
 
-        :param clock: not needed, averages do not age.
+        :param clock: unused, since averages do not age.
         """
-        self._by_engine: dict[str, ReadRate] = {}
-        self._by_pool: dict[str, ReadRate] = {}
+        self._by_engine: dict[str, PrefillRate] = {}
+        self._by_pool: dict[str, PrefillRate] = {}
 
-    def find(self, engine: str, pool: str) -> ReadRate:
-        """Give the rate of an engine.
+    def find(self, engine: str, pool: str) -> PrefillRate:
+        """Return the rate of an engine, created if it is missing.
 
-        :param engine: its name.
-        :param pool: its pool, whose average a new engine starts with.
+        :param engine: name of the engine.
+        :param pool: name of its pool, whose rate a new engine starts with.
         :returns: the rate.
         """
         rate = self._by_engine.get(engine)
         if rate is None:
-            rate = ReadRate(tokens_per_ms=self.of_pool(pool).tokens_per_ms)
+            rate = PrefillRate(tokens_per_ms=self.pool_rate(pool).tokens_per_ms)
             self._by_engine[engine] = rate
         return rate
 
-    def look(self, engine: str, pool: str) -> ReadRate:
-        """Give the rate of an engine, or its pool's while it is unseen.
+    def look(self, engine: str, pool: str) -> PrefillRate:
+        """Return the rate of an engine, or of its pool if it is unknown.
 
-        :param engine: its name.
-        :param pool: its pool.
+        :param engine: name of the engine.
+        :param pool: name of its pool.
         :returns: the rate.
         """
-        return self._by_engine.get(engine) or self.of_pool(pool)
+        return self._by_engine.get(engine) or self.pool_rate(pool)
 
-    def of_pool(self, pool: str) -> ReadRate:
-        """Give how fast the engines of a pool read on average.
+    def pool_rate(self, pool: str) -> PrefillRate:
+        """Return the average rate of a pool.
 
-        :param pool: its name.
+        :param pool: name of the pool.
         :returns: the rate.
         """
-        return self._by_pool.setdefault(pool, ReadRate())
+        return self._by_pool.setdefault(pool, PrefillRate())
 
     def note(
         self,
@@ -62,63 +62,64 @@
         elapsed_ms: float,
         waiting: int = 0,
     ) -> None:
-        """Learn from a prompt whose answer has begun.
+        """Update the rates from a prompt whose response has begun.
 
-        :param engine: the engine that read it.
-        :param pool: its pool.
-        :param tokens: what was to be read before it and for it.
-        :param elapsed_ms: how long reading took.
-        :param waiting: how much of that was before it.
+        :param engine: name of the engine.
+        :param pool: name of its pool.
+        :param tokens: prefill tokens of the prompt and of those before it.
+        :param elapsed_ms: milliseconds of prefill.
+        :param waiting: tokens that were pending before the prompt.
         """
-        # Of what waited, part was read already; that must not count for much.
+        # Some pending tokens had their prefill already, so that a sample with
+        # many of them would be too high.
         if waiting > tokens - waiting:
             return
         self.find(engine, pool).note(tokens, elapsed_ms)
-        self.of_pool(pool).note(tokens, elapsed_ms)
+        self.pool_rate(pool).note(tokens, elapsed_ms)
 
-    def note_short(
+    def note_short_prefill(
         self, engine: str, pool: str, tokens: int, elapsed_ms: float
     ) -> None:
-        """Learn nothing from a short prompt.
+        """Ignore a prompt too short for a sample.
 
-        :param engine: the engine.
-        :param pool: its pool.
-        :param tokens: what was to be read.
-        :param elapsed_ms: time from its sending to its first event.
+        :param engine: name of the engine.
+        :param pool: name of its pool.
+        :param tokens: prefill tokens.
+        :param elapsed_ms: milliseconds from sending it to its first event.
         """
 
-    def fixed_ms(self, pool: str) -> None:
-        """Know no fixed time.
+    def fixed_overhead_ms(self, pool: str) -> None:
+        """Return no fixed overhead.
 
         :param pool: name of the pool.
         """
 
-    def take_told(self, engine: str, pool: str, rates: list[int]) -> None:
-        """Pass over what another gateway tells.
+    def merge_reported(self, engine: str, pool: str, rates: list[int]) -> None:
+        """Ignore samples of another gateway.
 
-        :param engine: the engine.
-        :param pool: its pool.
-        :param rates: what it read.
+        :param engine: name of the engine.
+        :param pool: name of its pool.
+        :param rates: the reported rates.
         """
 
-    def take_untold(self) -> list[list[Any]]:
-        """Tell nothing.
+    def take_unreported(self) -> list[list[Any]]:
+        """Return no samples to report.
 
-        :returns: nothing.
+        :returns: an empty list.
         """
         return []
 
-    def write_all(self) -> list[list[Any]]:
-        """Tell nothing.
+    def encode_all(self) -> list[list[Any]]:
+        """Return no rates for a gateway that starts.
 
-        :returns: nothing.
+        :returns: an empty list.
         """
         return []
 
-    def keep_only(self, names: set[str]) -> None:
-        """Forget engines that are not listed any more.
+    def retain_only(self, names: set[str]) -> None:
+        """Remove engines that are not listed any more.
 
-        :param names: the engines that are listed.
+        :param names: names of the listed engines.
         """
         for name in self._by_engine.keys() - names:
             self._by_engine.pop(name)
--- a/wingfall/gateway/peers/heartbeats.py
+++ b/wingfall/gateway/peers/heartbeats.py
@@ -1,7 +1,7 @@
-"""What a gateway tells its peers some times a second, and hears of them.
+"""Heartbeats that a gateway exchanges with its peers some times a second.
 
-Owns when to tell; gives each message to the part that handles it: loads,
-objects, or parts that engines cache.
+Decides when to send and dispatches each received message to its handler: loads,
+objects, or prompt parts that engines cache.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 from wingfall.gateway.peers.heartbeat_writer import HeartbeatWriter
 from wingfall.gateway.peers.loads.load_entries import Activity
 from wingfall.gateway.peers.loads.load_exchange import LoadExchange
-from wingfall.gateway.peers.news_exchange import (
-    NewsExchange,
-    NewsKind,
-    PeerNews,
+from wingfall.gateway.peers.update_exchange import (
+    PeerUpdates,
+    UpdateExchange,
+    UpdateKind,
 )
 from wingfall.wire.codec import encode
 from wingfall.wire.gateway_messages import GatewayHeartbeat, ZoneLoads
@@ -43,7 +43,7 @@
 
 @final
 class Heartbeats:
-    """Sends heartbeats and takes all messages of the sessions."""
+    """Sends heartbeats and handles all messages of the sessions."""
 
     __slots__ = (
         '_clock',
@@ -53,13 +53,13 @@
         '_is_stopping',
         '_load',
         '_loads',
-        '_news',
+        '_updates',
         '_schedule',
         '_sessions',
         '_sent_revisions',
         '_sent_watching',
         '_transfer',
-        '_watches',
+        '_is_watching',
         '_writer',
         '_zone',
     )
@@ -78,18 +78,18 @@
         is_stopping: Callable[[], bool],
         duties: DutyExchange | None,
     ) -> None:
-        """Start with nothing told.
+        """Create the heartbeats of a gateway that has sent none.
 
         :param name: name of this gateway.
-        :param zone: its availability zone.
-        :param clock: the time.
-        :param knowledge: what it knows of endpoints.
-        :param sessions: the connected peers by name, kept by their owner.
-        :param exchange: gives and takes objects.
-        :param transfer: gives and takes what engines keep.
-        :param watches: whether this gateway hears the store's changes.
-        :param is_stopping: whether a planned stop has begun.
-        :param duties: tells what the duties need, None without duties.
+        :param zone: availability zone of this gateway.
+        :param clock: source of the current time.
+        :param knowledge: state of the endpoints as known to this gateway.
+        :param sessions: sessions by name of the peer, updated by their owner.
+        :param exchange: sends and receives objects.
+        :param transfer: sends and receives cached prompt parts.
+        :param watches: returns whether this gateway watches the store.
+        :param is_stopping: returns whether a planned stop has begun.
+        :param duties: exchange for the duties, None without duties.
         """
         self._zone = zone
         self._clock = clock
@@ -99,154 +99,158 @@
         self._duties = duties
         self._exchange = exchange
         self._transfer = transfer
-        self._watches = watches
+        self._is_watching = watches
         self._loads = LoadExchange(
             name=name,
             zone=zone,
             clock=clock,
             knowledge=knowledge,
         )
-        self._news = NewsExchange(clock=clock, knowledge=knowledge)
+        self._updates = UpdateExchange(clock=clock, knowledge=knowledge)
         self._writer = HeartbeatWriter(
             sessions=sessions.values(),
             exchange=exchange,
             transfer=transfer,
             loads=self._loads,
-            news=self._news,
+            updates=self._updates,
             watches=watches,
         )
         self._schedule = HeartbeatSchedule()
         self._sent_revisions: dict[str, int] = {}
         self._sent_watching = False
         self._handlers: dict[type[Message], Callable[..., None]] = {
-            GatewayHeartbeat: self._take_heartbeat,
-            ZoneLoads: self._take_zone,
-            ObjectsFetch: exchange.answer,
-            ObjectsPage: exchange.take,
-            PartsFetch: transfer.answer,
-            PartsPage: transfer.take,
+            GatewayHeartbeat: self._handle_heartbeat,
+            ZoneLoads: self._handle_zone_loads,
+            ObjectsFetch: exchange.send_objects,
+            ObjectsPage: exchange.process_page,
+            PartsFetch: transfer.send_parts,
+            PartsPage: transfer.record_page,
         }
 
-    def greet(self, session: PeerSession) -> None:
-        """Tell a new peer where this gateway stands.
+    def send_full_state(self, session: PeerSession) -> None:
+        """Send the full state of this gateway to a new peer.
 
-        :param session: the session with it.
+        :param session: the session with the peer.
         """
-        near = self._loads.near([session])
+        near = self._loads.own_zone_peers([session])
         heartbeat = self._writer.write(
             leaving=self._is_stopping(),
             whole=True,
-            loads=self._loads.own_loads() if near else None,
-            activity=self._loads.known_speeds() if near else None,
-            news=self._news.write_all(),
-            duties=self._duties.greet() if self._duties else None,
+            loads=self._loads.encode_own_loads() if near else None,
+            activity=self._loads.encode_known_speeds() if near else None,
+            updates=self._updates.encode_all(),
+            duties=self._duties.encode_state() if self._duties else None,
         )
         session.connection.send(heartbeat)
 
     def forget(self, session: PeerSession) -> None:
-        """Forget what a peer that is gone has told.
+        """Discard what a disconnected peer has reported.
 
         :param session: the session that ended.
         """
-        self._exchange.forget(session)
-        self._load.forget(session.name)
-        self._news.forget(session)
+        self._exchange.cancel_fetches(session)
+        self._load.remove_peer(session.name)
+        self._updates.forget(session)
         if self._duties is not None:
             self._duties.forget(session)
 
     def receive(self, session: PeerSession, message: Message) -> None:
-        """Take a message.
+        """Dispatch a message to its handler.
 
-        :param session: where it came from.
-        :param message: the message; an unknown one is passed over.
+        :param session: the session that received the message.
+        :param message: the message; an unknown type is ignored.
         """
-        take = self._handlers.get(type(message))
-        if take is not None:
-            take(session, message)
+        handle_message = self._handlers.get(type(message))
+        if handle_message is not None:
+            handle_message(session, message)
 
     def step(self) -> None:
-        """Tell what is due; called at each tick of the schedule."""
+        """Send the messages that are due; called at each tick."""
         now_ms = self._clock.now_ms()
         sessions = list(self._sessions.values())
-        self._transfer.step(sessions)
-        near = len(self._loads.near(sessions))
+        self._transfer.request_if_due(sessions)
+        near = len(self._loads.own_zone_peers(sessions))
         self._schedule.set_peers(near=near, peers=len(sessions))
-        watching = self._watches()
+        watching = self._is_watching()
         due = self._schedule.due(
             now_ms,
-            has_changes=self._load.has_changed,
+            has_changes=self._load.has_unreported,
             watching=watching,
             new_objects=self._has_new_objects(),
         )
         if watching is not self._sent_watching:
-            # Others step in, or need no longer, as soon as they hear it.
+            # Peers take over the watch, or need not, once they receive this.
             due = HeartbeatDue.whole
         if due is not HeartbeatDue.none:
             self._schedule.note_sent(now_ms, due)
-            self.tell(
+            self.send(
                 leaving=self._is_stopping(),
                 whole=due is HeartbeatDue.whole,
             )
-        self._loads.relay(sessions, whole=due is HeartbeatDue.whole)
-        self.tell_duties(sessions)
+        self._loads.relay_zone_loads(sessions, whole=due is HeartbeatDue.whole)
+        self.send_duties(sessions)
 
-    def tell_news(self, kind: NewsKind) -> None:
-        """Wait for news and tell all peers, in every zone.
+    def send_updates(self, kind: UpdateKind) -> None:
+        """Wait for updates and send them to the peers of all zones.
 
-        :param kind: what is waited for.
+        :param kind: the kind of update to wait for.
         """
-        news = self._news.wait(kind)
-        self._tell_news(news, list(self._sessions.values()))
+        updates = self._updates.wait(kind)
+        self._send_updates(updates, list(self._sessions.values()))
 
-    def tell(self, *, leaving: bool, whole: bool) -> None:
-        """Tell all peers: loads to the near ones, the rest to all.
+    def send(self, *, leaving: bool, whole: bool) -> None:
+        """Send heartbeats: loads to peers of this zone, the rest to all.
 
         :param leaving: whether this gateway is stopping.
-        :param whole: whether to tell of all work, not only of changes.
+        :param whole: whether to send all loads, not only changes.
         """
         sessions = list(self._sessions.values())
-        near = self._loads.near(sessions)
+        near = self._loads.own_zone_peers(sessions)
         if whole or leaving or self._has_new_objects():
-            far = [each for each in sessions if each.zone != self._zone]
-            _send_to_all(far, self._writer.write(leaving=leaving, whole=True))
+            other_zones = [each for each in sessions if each.zone != self._zone]
+            _send_to_all(
+                other_zones, self._writer.write(leaving=leaving, whole=True)
+            )
         heartbeat = self._writer.write(
             leaving=leaving,
             whole=whole,
-            loads=self._loads.take_loads(whole=whole),
-            activity=self._loads.take_activity(),
+            loads=self._loads.collect_loads(whole=whole),
+            activity=self._loads.collect_activity(),
         )
         _send_to_all(near, heartbeat)
         self._sent_revisions = self._exchange.revisions
         self._sent_watching = heartbeat.watching
 
-    def tell_duties(
+    def send_duties(
         self,
         sessions: Collection[PeerSession],
         *,
         at_once: bool = False,
     ) -> None:
-        """Tell what the duties need, if any is due.
+        """Send the entries of the duties that are due.
 
         :param sessions: the connected peers.
-        :param at_once: whether to tell counts that are not due yet.
+        :param at_once: whether to send counts that are not due yet.
         """
         if self._duties is None:
             return
-        for session, told in self._duties.due(sessions, at_once=at_once):
+        for session, entries in self._duties.encode_due(
+            sessions, at_once=at_once
+        ):
             heartbeat = self._writer.write(
-                leaving=self._is_stopping(), whole=False, duties=told
+                leaving=self._is_stopping(), whole=False, duties=entries
             )
             session.connection.send(heartbeat)
 
-    def _take_heartbeat(
+    def _handle_heartbeat(
         self, session: PeerSession, heartbeat: GatewayHeartbeat
     ) -> None:
         session.leaving = heartbeat.leaving
         session.watching = heartbeat.watching
         session.knows_caches = heartbeat.knows_caches
-        session.reach = heartbeat.reach
+        session.reached_zones = heartbeat.reach
         session.last_seen_ms = self._clock.now_ms()
-        self._loads.take_heartbeat(
+        self._loads.merge_heartbeat(
             session,
             heartbeat.loads,
             Activity(
@@ -258,27 +262,29 @@
             ),
             whole=heartbeat.whole,
         )
-        missed = self._news.take(session, heartbeat, len(self._sessions))
-        self._tell_news(missed, [session])
+        missed = self._updates.merge(session, heartbeat, len(self._sessions))
+        self._send_updates(missed, [session])
         if self._duties is not None and heartbeat.duties:
-            self._duties.take(session, heartbeat.duties)
+            self._duties.merge_report(session, heartbeat.duties)
         for kind, revision in heartbeat.revisions.items():
-            self._exchange.compare(session, kind, revision)
+            self._exchange.check_revision(session, kind, revision)
 
-    def _tell_news(
+    def _send_updates(
         self,
-        news: PeerNews,
+        updates: PeerUpdates,
         sessions: Iterable[PeerSession],
     ) -> None:
-        if news.empty:
+        if updates.is_empty:
             return
         heartbeat = self._writer.write(
-            leaving=self._is_stopping(), whole=False, news=news
+            leaving=self._is_stopping(), whole=False, updates=updates
         )
         _send_to_all(sessions, heartbeat)
 
-    def _take_zone(self, session: PeerSession, loads: ZoneLoads) -> None:
-        self._loads.take_zone(session, loads, self._sessions.values())
+    def _handle_zone_loads(
+        self, session: PeerSession, loads: ZoneLoads
+    ) -> None:
+        self._loads.merge_zone_loads(session, loads, self._sessions.values())
 
     def _has_new_objects(self) -> bool:
         return self._sent_revisions != self._exchange.revisions
--- a/wingfall/gateway/peers/objects/object_fetch.py
+++ b/wingfall/gateway/peers/objects/object_fetch.py
@@ -1,4 +1,4 @@
-"""A fetch of objects that is under way at one peer."""
+"""A pending fetch of objects from one peer."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 @final
 class ObjectFetch:
-    """A fetch that is under way."""
+    """Pending fetch of one kind of object from a peer."""
 
     __slots__ = (
-        'asked_ms',
+        'started_ms',
         'revision',
         'session',
         'transfer',
-        'until_ms',
-        'wait_ms',
+        'deadline_ms',
+        'chunk_timeout_ms',
     )
 
     def __init__(
@@ -32,25 +32,25 @@
         *,
         session: PeerSession,
         revision: int,
-        asked_ms: int,
-        wait_ms: int,
+        started_ms: int,
+        chunk_timeout_ms: int,
     ) -> None:
-        """Begin a fetch; nothing is asked yet.
+        """Create a fetch without sending a request.
 
-        :param session: the peer that is asked.
-        :param revision: up to where this gateway is complete.
-        :param asked_ms: the time, by the clock.
-        :param wait_ms: milliseconds for a chunk.
+        :param session: session with the peer.
+        :param revision: revision up to which this gateway has all objects.
+        :param started_ms: start of the fetch, in milliseconds of the clock.
+        :param chunk_timeout_ms: timeout of a chunk in milliseconds.
         """
         self.session = session
         self.revision = revision
-        self.asked_ms = asked_ms
-        self.wait_ms = wait_ms
-        self.until_ms = asked_ms + wait_ms
+        self.started_ms = started_ms
+        self.chunk_timeout_ms = chunk_timeout_ms
+        self.deadline_ms = started_ms + chunk_timeout_ms
         self.transfer = IncomingTransfer()
 
-    def ask(self, kind: str) -> None:
-        """Ask the peer for the next chunk.
+    def request_chunk(self, kind: str) -> None:
+        """Request the next chunk from the peer.
 
         :param kind: kind of object.
         """
--- a/wingfall/gateway/state.py
+++ b/wingfall/gateway/state.py
@@ -7,14 +7,14 @@
 
 from typing import TYPE_CHECKING, final
 
+from wingfall.gateway.rules.admission.deferred_calls import DeferredCalls
 from wingfall.gateway.rules.admission.fair_shares import FairShares
-from wingfall.gateway.rules.admission.held_calls import HeldCalls
-from wingfall.gateway.rules.placement.kept_engines import KeptEngines
+from wingfall.gateway.rules.placement.reserved_engines import ReservedEngines
 
 if TYPE_CHECKING:
     from wingfall.clock import Clock
-    from wingfall.gateway.endpoints.crash_watch import CrashWatch
-    from wingfall.gateway.endpoints.kept_connections import KeptConnections
+    from wingfall.gateway.endpoints.connection_cache import ConnectionCache
+    from wingfall.gateway.endpoints.crash_detector import CrashDetector
     from wingfall.gateway.endpoints.sending_gate import SendingGate
     from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
     from wingfall.gateway.knowledge.usage_counts import UsageCounts
@@ -36,12 +36,12 @@
         'budget',
         'clock',
         'connections',
-        'crash_watch',
+        'crash_detector',
         'draining',
         'fair_shares',
         'gate',
-        'held_calls',
-        'kept_engines',
+        'deferred_calls',
+        'reserved_engines',
         'knowledge',
         'metrics',
         'policies',
@@ -60,9 +60,9 @@
         policies: Policies,
         budget: RetryBudget,
         knowledge: EndpointKnowledge,
-        connections: KeptConnections,
+        connections: ConnectionCache,
         blocks: RequestBlocks,
-        crash_watch: CrashWatch,
+        crash_detector: CrashDetector,
         gate: SendingGate,
     ) -> None:
         """Join the parts; there is no configuration yet.
@@ -76,7 +76,7 @@
         :param knowledge: what is known of endpoints.
         :param connections: idle connections to endpoints.
         :param blocks: bounds requests that end their endpoints.
-        :param crash_watch: notices endpoints that crash.
+        :param crash_detector: notices endpoints that crash.
         :param gate: asks what endpoints have said before a request is sent.
         """
         self.zone = zone
@@ -88,17 +88,17 @@
         self.knowledge = knowledge
         self.connections = connections
         self.blocks = blocks
-        self.crash_watch = crash_watch
+        self.crash_detector = crash_detector
         self.gate = gate
         # What callers were told when no endpoint of their pool took a request.
-        self.held_calls = HeldCalls()
+        self.deferred_calls = DeferredCalls()
         # How far customers are above their shares of pools.
         self.fair_shares = FairShares(clock=clock, knowledge=knowledge)
         # Engines that are kept for streams with short gaps.
-        self.kept_engines = KeptEngines(
+        self.reserved_engines = ReservedEngines(
             clock=clock,
             knowledge=knowledge,
-            parts_pool=policies.engine_groups,
+            group_policy=policies.engine_groups,
             metrics=metrics,
         )
         # The configuration in force; only the object applier replaces it.
--- a/wingfall/gateway/status.py
+++ b/wingfall/gateway/status.py
@@ -39,10 +39,10 @@
         'blocked_requests': state.blocks.count,
         'limited_endpoints': state.gate.status(),
         'leaving_endpoints': sorted(signals.leaving),
-        'resting_endpoints': signals.rests.names,
+        'resting_endpoints': signals.rests.resting_names,
         'engine_rates': _show_rates(state),
-        'start_errors': list_start_errors(state.knowledge.starts),
-        'engine_groups': state.kept_engines.status(),
+        'start_errors': list_start_errors(state.knowledge.start_estimates),
+        'engine_groups': state.reserved_engines.status(),
         'duties': duties,
     }
 
