--- a/wingfall/gateway/duties/__init__.py
+++ b/wingfall/gateway/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Duties that one gateway at a time does for all."""
+"""Duties that one gateway at a time performs for all gateways."""
--- a/wingfall/gateway/duties/assembly.py
+++ b/wingfall/gateway/duties/assembly.py
@@ -1,4 +1,4 @@
-"""Makes the duties of a gateway from its settings."""
+"""Create the duties of a gateway from its settings."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
     from wingfall.gateway.model.binding import Binding
     from wingfall.metrics import Metrics
 
-# A duty is known once its module is imported.
+# Modules of the duties. Importing a module registers its duty.
 KNOWN: Final = (usage_duty,)
-# Milliseconds between two looks at what is due. A small part of the time in
-# which a report may be late.
-_STEP_MS: Final = 200
-# Bits of the number that tells two starts of a gateway apart.
-_HOLDER_BITS: Final = 64
-# Windows after its start for which a gateway counts as new: it has not heard
-# what was counted before.
-_NEW_WINDOWS: Final = 2
+# Milliseconds between two steps of the duties. A small fraction of the time
+# by which a report may be late.
+_STEP_INTERVAL_MS: Final = 200
+# Bits of the random number that distinguishes two starts of a gateway.
+_INCARNATION_BITS: Final = 64
+# Windows after its start for which a gateway counts as new: it has not
+# received earlier counts.
+_WARMUP_WINDOWS: Final = 2
 
 
 @final
 class GatewayDuties:
-    """The duties of this gateway, and what they share."""
+    """The duties of this gateway and the state that they share."""
 
     __slots__ = ('_duties', '_jump_ms', 'counts', 'lease', 'true_time')
 
@@ -54,72 +54,72 @@
         look: Callable[[], Peering],
         is_stopping: Callable[[], bool],
     ) -> None:
-        """Make the duties; none acts yet.
+        """Create the duties without running any of them.
 
-        :param settings: the gateway's settings, with an address for duties.
-        :param clock: the steady clock.
-        :param metrics: counters.
-        :param binding: speaks to the platform.
-        :param look: what is seen of the other gateways.
+        :param settings: the gateway's settings, including the duty address.
+        :param clock: the monotonic clock.
+        :param metrics: the metrics of the gateway.
+        :param binding: the binding to the platform.
+        :param look: returns a snapshot of the other gateways.
         :param is_stopping: whether a planned stop has begun.
         """
-        chosen = settings.duties
-        window_ms = int(chosen.window_s * MS_PER_S)
+        duty_settings = settings.duties
+        window_ms = int(duty_settings.window_s * MS_PER_S)
         self.true_time = TrueTime(clock=clock, wall=WallClock())
         self.counts = UsageCounts(time=self.true_time, window_ms=window_ms)
-        incarnation = random.getrandbits(_HOLDER_BITS)
+        incarnation = random.getrandbits(_INCARNATION_BITS)
         self.lease = Lease(
             name=settings.name,
             holder=f'{settings.name}/{incarnation:x}',
             clock=clock,
             store=binding.leases_store(),
-            lease_ms=chosen.lease_ms,
+            lease_ms=duty_settings.lease_ms,
         )
         shared: dict[str, Any] = {
             'terms': DutyTerms(
                 window_ms=window_ms,
-                late_ms=int(chosen.late_s * MS_PER_S),
+                late_ms=int(duty_settings.late_s * MS_PER_S),
             ),
             'lease': self.lease,
             'standing': Standing(
                 clock=clock,
-                lease_ms=chosen.lease_ms,
-                new_ms=_NEW_WINDOWS * window_ms,
+                lease_ms=duty_settings.lease_ms,
+                new_ms=_WARMUP_WINDOWS * window_ms,
                 look=look,
                 is_stopping=is_stopping,
             ),
             'counts': self.counts,
-            'calls': binding.duty_calls(chosen.address),
+            'calls': binding.duty_calls(duty_settings.address),
             'clock': clock,
             'metrics': metrics,
         }
-        found = {name: duties.find(name) for name in chosen.names}
+        factories = {name: duties.find(name) for name in duty_settings.names}
         self._duties: list[Duty] = [
-            make.unwrap()(**shared)
-            for make in found.values()
-            if isinstance(make, Success)
+            factory.unwrap()(**shared)
+            for factory in factories.values()
+            if isinstance(factory, Success)
         ]
-        for name, make in found.items():
-            if not isinstance(make, Success):
-                # The platform may have more than this version does.
+        for name, factory in factories.items():
+            if not isinstance(factory, Success):
+                # The platform may know duties that this version lacks.
                 log_event('duties', 'A duty is not known.', duty=name)
-        # By how much the time of day was off at the last look, for the log.
+        # Jump of the time of day at the last step, for the log.
         self._jump_ms = 0
 
     def run(self, stop: Event) -> None:
-        """Do what is due until the process stops, then give the lease back.
+        """Run the duties until the process stops, then release the lease.
 
         :param stop: set when the process is asked to stop.
         """
         while not stop.is_set():
-            self._note_jump(self.true_time.look())
+            self._log_clock_jump(self.true_time.look())
             for duty in self._duties:
                 duty.step()
-            stop.wait(_STEP_MS / MS_PER_S)
+            stop.wait(_STEP_INTERVAL_MS / MS_PER_S)
         self.lease.give_back()
 
     def status(self) -> dict[str, Any]:
-        """Show the state of the duties.
+        """Return the state of the duties.
 
         :returns: the state as JSON.
         """
@@ -131,7 +131,7 @@
             'window': self.counts.window,
         }
 
-    def _note_jump(self, jump_ms: int) -> None:
+    def _log_clock_jump(self, jump_ms: int) -> None:
         if bool(jump_ms) is not bool(self._jump_ms):
             log_event(
                 'duties',
--- a/wingfall/gateway/duties/duty.py
+++ b/wingfall/gateway/duties/duty.py
@@ -1,4 +1,4 @@
-"""What duties have in common, and which there are."""
+"""The interface and the registry of duties."""
 
 from __future__ import annotations
 
@@ -17,29 +17,30 @@
 
 @final
 class DutyTerms:
-    """When what is due, as the settings tell."""
+    """The window length and deadline of reports, from the settings."""
 
     __slots__ = ('late_ms', 'window_ms')
 
     def __init__(self, *, window_ms: int, late_ms: int) -> None:
-        """Set the terms.
+        """Initialize the terms.
 
-        :param window_ms: length of a window.
-        :param late_ms: after its end a report counts for nothing.
+        :param window_ms: length of a window in milliseconds.
+        :param late_ms: milliseconds after the end of a window from which its
+            report is ignored.
         """
         self.window_ms = window_ms
         self.late_ms = late_ms
 
 
 class Duty(Protocol):
-    """Something that one gateway at a time does."""
+    """A task that one gateway at a time performs."""
 
     def step(self) -> None:
-        """Do what is due now, if this gateway holds the lease or takes it."""
+        """Perform due work if this gateway holds or acquires the lease."""
 
 
 class DutyFactory(Protocol):
-    """How a duty is made."""
+    """A factory of duties."""
 
     def __call__(
         self,
@@ -52,7 +53,7 @@
         clock: Clock,
         metrics: Metrics,
     ) -> Duty:
-        """Make the duty."""
+        """Create the duty."""
 
 
 duties: Final[Registry[DutyFactory]] = Registry(kind='duty')
--- a/wingfall/gateway/duties/lease.py
+++ b/wingfall/gateway/duties/lease.py
@@ -1,13 +1,13 @@
 """The lease of the duties: at most one gateway acts at any time.
 
-An object in the platform's store, written by condition. There are no renewals
-for their own sake: the holder writes before it acts, and that write, or a read
-that still shows it as the holder, allows it to act for a short time. Whoever
-takes the lease from another waits longer than that before it acts.
-
-The fencing token is the store's revision of the write by which the lease was
-taken: it is never shared and never falls, also if the object was deleted.
-No time of one gateway is compared with that of another.
+The lease is an object in the platform's store, updated by conditional writes.
+There are no separate renewals: the holder writes before it acts, and that
+write, or a read that still shows it as the holder, allows it to act for a short
+time. A gateway that takes over the lease waits longer than that before it acts.
+
+The fencing token is the store's revision of the write that acquired the lease:
+it is unique and never decreases, even if the object was deleted. Timestamps of
+different gateways are never compared.
 """
 
 from __future__ import annotations
@@ -26,38 +26,39 @@
     from wingfall.errors import PlatformError
     from wingfall.gateway.model.object_store import ObjectWriter, StoredObject
 
-# The one object of its kind.
-_OBJECT: Final = 'duties'
-# Part of the lease's length for which a write or read allows to act: two such
-# spans pass before the next holder acts, which leaves one for late timers.
-_ACT_PART: Final = 3
-# Milliseconds between two calls to a store that fails; the time doubles with
-# each. Chosen so that a report goes out within a second of its return.
+# Name of the only lease object in the store.
+_OBJECT_NAME: Final = 'duties'
+# A write or read allows the holder to act for the lease length divided by this
+# number. The next holder acts after two such periods, which leaves one period
+# for late timers.
+_ACT_DIVISOR: Final = 3
+# Milliseconds between two calls to a failing store, doubled with each call. A
+# report is sent within a second of the recovery of the store.
 _MIN_RETRY_MS: Final = 200
 _MAX_RETRY_MS: Final = 1000
-# Before all readings of the clock.
+# Earlier than any time of the clock.
 _NEVER: Final = float('-inf')
 
 
 @final
 class Lease:
-    """This gateway's view of the lease, and whether it may act."""
+    """This gateway's view of the lease and of its permission to act."""
 
     __slots__ = (
-        '_acted_ms',
+        '_last_act_ms',
         '_backoff',
-        '_changed_ms',
+        '_revision_seen_ms',
         '_clock',
         '_confirmed_ms',
         '_holder',
         '_lease_ms',
         '_name',
-        '_failing',
-        '_next_call_ms',
+        '_is_failing',
+        '_retry_at_ms',
         '_not_before_ms',
         '_revision',
         '_store',
-        '_taken_ms',
+        '_acquired_ms',
         '_token',
         'record',
     )
@@ -71,14 +72,15 @@
         store: ObjectWriter,
         lease_ms: int,
     ) -> None:
-        """Start without the lease.
-
-        :param name: name of this gateway.
-        :param holder: a word that no other process has ever had.
-        :param clock: the steady clock.
-        :param store: where the lease lies.
-        :param lease_ms: its length; holders must not come back to act within
-            so long after another has acted.
+        """Initialize the view of a gateway that does not hold the lease.
+
+        :param name: the name of this gateway.
+        :param holder: an identifier that is unique to this process.
+        :param clock: the monotonic clock.
+        :param store: the store that contains the lease.
+        :param lease_ms: length of the lease in milliseconds; once another
+            gateway has acted, an earlier holder must not act again within this
+            time of its own last act.
         """
         self._name = name
         self._holder = holder
@@ -88,83 +90,83 @@
         # The lease as last read or written.
         self.record = LeaseRecord(known=False)
         self._revision: int | None = None
-        # When a read or write first showed this revision.
-        self._changed_ms: float = _NEVER
-        # 0 while another holds it, as far as is known.
+        # When a read or write first returned this revision.
+        self._revision_seen_ms: float = _NEVER
+        # Fencing token; 0 while this gateway is not known to hold the lease.
         self._token = 0
-        # When it was first seen that this gateway holds it.
-        self._taken_ms = _NEVER
-        # When the call was sent that last showed this gateway as the holder.
+        # When a call first showed this gateway as the holder.
+        self._acquired_ms = _NEVER
+        # Send time of the last call that showed this gateway as the holder.
         self._confirmed_ms: float = _NEVER
-        # Before when this gateway does not act.
+        # Time before which this gateway does not act.
         self._not_before_ms: float = _NEVER
         # When this gateway last acted.
-        self._acted_ms: float = _NEVER
-        # Whether the last call failed, and before when none is made.
-        self._failing = False
-        self._next_call_ms: float = _NEVER
+        self._last_act_ms: float = _NEVER
+        # Whether the last call failed, and the earliest time of the next call.
+        self._is_failing = False
+        self._retry_at_ms: float = _NEVER
         self._backoff = Backoff(min_ms=_MIN_RETRY_MS, max_ms=_MAX_RETRY_MS)
 
     @property
     def held(self) -> bool:
-        """Whether this gateway holds the lease, as far as it knows."""
+        """Whether this gateway is the last known holder of the lease."""
         return bool(self._token)
 
     @property
     def ready(self) -> bool:
-        """Whether holders before this one have surely stopped to act."""
+        """Whether all earlier holders have certainly stopped acting."""
         return self.held and self._clock.now_ms() >= self._not_before_ms
 
     @property
     def held_ms(self) -> float:
         """Milliseconds for which this gateway has held the lease."""
-        return self._clock.now_ms() - self._taken_ms if self.held else 0
+        return self._clock.now_ms() - self._acquired_ms if self.held else 0
 
     @property
     def fence(self) -> Fence:
-        """Under which right this gateway acts."""
+        """The fence that authorizes the acts of this gateway."""
         return Fence(holder=self._name, token=self._token)
 
     @property
     def act_ms(self) -> int:
-        """Milliseconds for which it may still act, 0 if it must not."""
+        """Milliseconds for which this gateway may still act, 0 for none."""
         now_ms = self._clock.now_ms()
         if not self.held or now_ms < self._not_before_ms:
             return 0
-        left_ms = self._confirmed_ms + self._lease_ms // _ACT_PART - now_ms
+        left_ms = self._confirmed_ms + self._lease_ms // _ACT_DIVISOR - now_ms
         return max(0, int(left_ms))
 
     @property
     def unchanged_ms(self) -> float:
-        """Milliseconds for which the lease is known to stand as it does."""
-        return self._clock.now_ms() - self._changed_ms
+        """Milliseconds since the current revision was first seen."""
+        return self._clock.now_ms() - self._revision_seen_ms
 
     def note_acted(self) -> None:
-        """Note that this gateway has acted just now."""
-        self._acted_ms = self._clock.now_ms()
+        """Record that this gateway has acted at the current time."""
+        self._last_act_ms = self._clock.now_ms()
 
     def refresh(self) -> bool:
-        """Read the lease.
+        """Read the lease from the store.
 
         :returns: whether the store has answered.
         """
         sent_ms = self._clock.now_ms()
-        if sent_ms < self._next_call_ms:
+        if sent_ms < self._retry_at_ms:
             return False
-        found = self._store.read(_OBJECT)
-        if not isinstance(found, Success):
-            self._note_failed('read', found.failure())
+        answer = self._store.read(_OBJECT_NAME)
+        if not isinstance(answer, Success):
+            self._record_failure('read', answer.failure())
             return False
-        self._note_answered()
-        self._take_stored(found.unwrap(), sent_ms)
+        self._record_success()
+        self._apply_stored(answer.unwrap(), sent_ms)
         return True
 
     def take(self, decided: int) -> bool:
-        """Try to take the lease as it was last read.
+        """Try to acquire the lease on condition of the last read revision.
 
-        :param decided: the last window that may have been decided, where the
-            store can't tell: one that was must not be decided again.
-        :returns: whether this gateway holds it now.
+        :param decided: the last window that may have been decided, used if the
+            store has no record: a window must not be decided twice.
+        :returns: whether this gateway has acquired the lease.
         """
         before = self.record
         record = LeaseRecord(
@@ -186,11 +188,11 @@
         return True
 
     def commit(self, reports: dict[int, dict[str, int]], decided: int) -> bool:
-        """Write what will be reported, as the holder.
+        """Write the pending reports into the lease as its holder.
 
-        :param reports: what is to be delivered, by window.
+        :param reports: the counts to deliver by customer, by window.
         :param decided: the last window whose report is decided.
-        :returns: whether it stands; only then it may be sent.
+        :returns: whether the write succeeded; reports may be sent only then.
         """
         return self._write(
             LeaseRecord(
@@ -203,7 +205,7 @@
         )
 
     def give_back(self) -> None:
-        """End to act, so that the next holder need not wait."""
+        """Release the lease so that the next holder need not wait."""
         if not self.held:
             return
         record = LeaseRecord(
@@ -212,58 +214,62 @@
             reports=self.record.reports,
         )
         token = self._token
-        given = self._write(record)
+        released = self._write(record)
         self._token = 0
-        log_event('lease', 'The lease was given back.', token=token, done=given)
+        log_event(
+            'lease', 'The lease was released.', token=token, done=released
+        )
 
     def _write(self, record: LeaseRecord) -> bool:
         sent_ms = self._clock.now_ms()
-        if sent_ms < self._next_call_ms:
+        if sent_ms < self._retry_at_ms:
             return False
-        written = self._store.write(_OBJECT, record.to_spec(), self._revision)
-        if isinstance(written, Success):
-            self._note_answered()
-            self._take_stored(written.unwrap(), sent_ms)
+        answer = self._store.write(
+            _OBJECT_NAME, record.to_spec(), self._revision
+        )
+        if isinstance(answer, Success):
+            self._record_success()
+            self._apply_stored(answer.unwrap(), sent_ms)
             return True
-        failure = written.failure()
+        failure = answer.failure()
         if failure.status == http.HTTPStatus.CONFLICT:
-            self._note_answered()
+            self._record_success()
             self.refresh()
         else:
-            # It may have taken effect, or may do so later; the condition of the
-            # next write finds out.
-            self._note_failed('write', failure)
+            # The write may have taken effect or may do so later; the condition
+            # of the next write detects this.
+            self._record_failure('write', failure)
         return False
 
-    def _take_stored(self, stored: StoredObject | None, sent_ms: int) -> None:
+    def _apply_stored(self, stored: StoredObject | None, sent_ms: int) -> None:
         revision = stored.revision if stored else None
         if revision != self._revision:
-            self._changed_ms = self._clock.now_ms()
+            self._revision_seen_ms = self._clock.now_ms()
         self._revision = revision
         before = self.record
         self.record = read_lease_record(stored.spec if stored else None)
         if self.record.holder != self._holder:
-            self._lose()
+            self._mark_lost()
             return
         if not self._token:
             self._token = self.record.token or revision or 0
-            self._taken_ms = self._clock.now_ms()
-            self._not_before_ms = self._first_act_ms(before)
+            self._acquired_ms = self._clock.now_ms()
+            self._not_before_ms = self._earliest_act_ms(before)
         self._confirmed_ms = sent_ms
 
-    def _first_act_ms(self, before: LeaseRecord) -> float:
-        # What its last holder sent has arrived or been reset by then. A holder
-        # that comes back acts a whole lease after it did before, since another
-        # may have acted between the two.
-        handover_ms = self._lease_ms * 2 // _ACT_PART
+    def _earliest_act_ms(self, before: LeaseRecord) -> float:
+        # By then, the calls of the last holder have arrived or been reset. A
+        # returning holder waits a whole lease after its own last act, since
+        # another gateway may have acted in between.
+        handover_ms = self._lease_ms * 2 // _ACT_DIVISOR
         if before.given_back:
             handover_ms = 0
         return max(
             self._clock.now_ms() + handover_ms,
-            self._acted_ms + self._lease_ms,
+            self._last_act_ms + self._lease_ms,
         )
 
-    def _lose(self) -> None:
+    def _mark_lost(self) -> None:
         if self._token:
             log_event(
                 'lease',
@@ -273,18 +279,18 @@
             )
         self._token = 0
 
-    def _note_answered(self) -> None:
+    def _record_success(self) -> None:
         self._backoff.reset()
-        self._next_call_ms = _NEVER
-        if self._failing:
-            self._failing = False
+        self._retry_at_ms = _NEVER
+        if self._is_failing:
+            self._is_failing = False
             log_event('lease', 'The store answers again.', held=self.held)
 
-    def _note_failed(self, call: str, failure: PlatformError) -> None:
-        self._next_call_ms = self._clock.now_ms() + self._backoff.take_ms()
-        if self._failing:
+    def _record_failure(self, call: str, failure: PlatformError) -> None:
+        self._retry_at_ms = self._clock.now_ms() + self._backoff.take_ms()
+        if self._is_failing:
             return
-        self._failing = True
+        self._is_failing = True
         log_event(
             'lease',
             'A call for the lease failed.',
--- a/wingfall/gateway/duties/standing.py
+++ b/wingfall/gateway/duties/standing.py
@@ -1,7 +1,8 @@
-"""When a gateway steps in for the holder of the lease.
+"""The rules by which a gateway takes over the lease.
 
-All could; so that few ask the store, each waits for those before it in an order
-that all agree on, and the holder that is heard is left alone for a while.
+Any gateway may take over. To limit calls to the store, each gateway waits for
+its predecessors in an order that all gateways share, and a connected holder has
+time to act first.
 """
 
 from __future__ import annotations
@@ -14,33 +15,33 @@
     from wingfall.clock import Clock
     from wingfall.gateway.model.duty import LeaseRecord
 
-# Milliseconds for which one gateway waits for the one before it: two calls to
-# the store over a busy link.
-_TURN_MS: Final = 300
-# Milliseconds for which a holder that is heard is left to act before others
-# look: it steps five times a second, writes and sends.
-_HOLDER_MS: Final = 1500
-# Milliseconds after which a gateway that has taken the lease has heard all
-# counts: it tells that it holds it within 0.1 s, and peers tell theirs each
-# second. One that decided at once reported 11 of 556 requests.
+# Milliseconds for which a gateway waits per predecessor: two calls to the store
+# over a busy link.
+_TURN_DELAY_MS: Final = 300
+# Milliseconds for which other gateways wait for a connected holder before they
+# poll the lease: the holder steps five times a second, writes and sends.
+_HOLDER_DELAY_MS: Final = 1500
+# Milliseconds after which a new holder of the lease has received all counts: it
+# announces itself within 0.1 s, and peers send their counts each second. An
+# immediate decision reported 11 of 556 requests.
 HEARD_MS: Final = 1500
-# Milliseconds for which a holder that may act is left to act: a step, a write
-# and a sending over busy links.
-_ACT_MS: Final = 1000
-# Milliseconds between two looks at the lease, each of which is a call.
-_LOOK_MS: Final = 500
-# Turns for which one that has just started waits longer: it has not heard the
-# counts of those that ended before it.
-_NEW_TURNS: Final = 3
-# Turns for which one that hears fewer than half of the others waits longer: it
-# may be cut off, and then knows few of the counts; or it is one of the last
-# that are left, and then somebody has to report.
-_FEW_TURNS: Final = 10
+# Milliseconds in which a holder that may act does so: a step, a write and a
+# report over busy links.
+_HOLDER_ACT_MS: Final = 1000
+# Milliseconds between two polls of the lease, each of which is a call.
+_POLL_INTERVAL_MS: Final = 500
+# Extra turns for which a gateway waits after its start: it has not received the
+# counts of gateways that ended earlier.
+_WARMUP_TURNS: Final = 3
+# Extra turns for which a gateway that is connected to fewer than half of the
+# others waits: it may be partitioned and lack most counts, or it may be one of
+# the last gateways running, and then has to report.
+_MINORITY_TURNS: Final = 10
 
 
 @final
 class Peering:
-    """What a gateway sees of the others."""
+    """A snapshot of the other gateways as seen by one gateway."""
 
     __slots__ = ('before', 'heard', 'holder_heard', 'known')
 
@@ -52,12 +53,12 @@
         known: int,
         holder_heard: bool,
     ) -> None:
-        """Describe what is seen.
+        """Create a snapshot.
 
-        :param before: peers that go before this gateway.
-        :param heard: names of the peers that are connected.
-        :param known: other gateways that there may be.
-        :param holder_heard: whether a peer tells that it holds the lease.
+        :param before: number of peers that precede this gateway.
+        :param heard: names of the connected peers.
+        :param known: number of other gateways that may exist.
+        :param holder_heard: whether a peer reports that it holds the lease.
         """
         self.before = before
         self.heard = heard
@@ -66,22 +67,22 @@
 
     @property
     def hears_few(self) -> bool:
-        """Whether fewer than half of the others are heard."""
+        """Whether fewer than half of the other gateways are connected."""
         return 2 * len(self.heard) < self.known
 
 
 @final
 class Standing:
-    """Decides when this gateway may take the lease."""
+    """The policy that decides when this gateway may take over the lease."""
 
     __slots__ = (
         '_clock',
         '_is_stopping',
         '_lease_ms',
-        '_look',
-        '_looked_ms',
-        '_patience_ms',
-        '_new_ms',
+        '_snapshot_peers',
+        '_polled_ms',
+        '_holder_timeout_ms',
+        '_warmup_ms',
         '_started_ms',
     )
 
@@ -94,48 +95,48 @@
         look: Callable[[], Peering],
         is_stopping: Callable[[], bool],
     ) -> None:
-        """Begin at the start of the process.
+        """Initialize the policy at the start of the process.
 
-        :param clock: the steady clock.
-        :param lease_ms: length of the lease.
-        :param new_ms: for how long one that starts counts as new.
-        :param look: what is seen of the others.
+        :param clock: the monotonic clock.
+        :param lease_ms: length of the lease in milliseconds.
+        :param new_ms: milliseconds for which a started gateway counts as new.
+        :param look: returns a snapshot of the other gateways.
         :param is_stopping: whether a planned stop has begun.
         """
         self._clock = clock
         self._lease_ms = lease_ms
-        # Longer than any holder needs until it acts, or gateways would take the
-        # lease from each other for ever, and none would act.
-        self._patience_ms = max(lease_ms, HEARD_MS + _ACT_MS)
-        self._new_ms = new_ms
-        self._look = look
+        # Longer than any holder needs until it acts; otherwise gateways would
+        # take the lease from each other endlessly, and none would act.
+        self._holder_timeout_ms = max(lease_ms, HEARD_MS + _HOLDER_ACT_MS)
+        self._warmup_ms = new_ms
+        self._snapshot_peers = look
         self._is_stopping = is_stopping
         self._started_ms = clock.now_ms()
-        self._looked_ms: float = float('-inf')
+        self._polled_ms: float = float('-inf')
 
     def steps_in(self, waited_ms: int) -> bool:
-        """Tell whether to look at the lease, and take it if nobody acts.
+        """Check if this gateway should poll the lease for a takeover.
 
-        :param waited_ms: for how long something has been due.
-        :returns: whether this gateway's turn has come.
+        :param waited_ms: milliseconds for which a report has been due.
+        :returns: whether it is the turn of this gateway.
         """
-        up_ms = self._clock.now_ms() - self._started_ms
-        # The process that this machine ran before may have acted just then.
-        if up_ms <= self._lease_ms or self._is_stopping():
+        uptime_ms = self._clock.now_ms() - self._started_ms
+        # An earlier process on this machine may have acted just before.
+        if uptime_ms <= self._lease_ms or self._is_stopping():
             return False
-        seen = self._look()
-        turns = seen.before
-        if seen.hears_few:
-            turns += _FEW_TURNS
-        if up_ms < self._new_ms:
-            turns += _NEW_TURNS
-        first_ms = _HOLDER_MS if seen.holder_heard else 0
-        if waited_ms < first_ms + turns * _TURN_MS:
+        snapshot = self._snapshot_peers()
+        turns = snapshot.before
+        if snapshot.hears_few:
+            turns += _MINORITY_TURNS
+        if uptime_ms < self._warmup_ms:
+            turns += _WARMUP_TURNS
+        holder_delay_ms = _HOLDER_DELAY_MS if snapshot.holder_heard else 0
+        if waited_ms < holder_delay_ms + turns * _TURN_DELAY_MS:
             return False
         now_ms = self._clock.now_ms()
-        if now_ms - self._looked_ms < _LOOK_MS:
+        if now_ms - self._polled_ms < _POLL_INTERVAL_MS:
             return False
-        self._looked_ms = now_ms
+        self._polled_ms = now_ms
         return True
 
     def replaces(
@@ -145,20 +146,20 @@
         *,
         decided: bool,
     ) -> bool:
-        """Tell whether the holder of the lease has had its time.
+        """Check if the holder of the lease has exceeded its time to act.
 
-        One that has just taken it waits for the holder before it, and is left
-        alone meanwhile; else gateways would take it from each other in turn.
+        A new holder waits for the previous one and must not be replaced
+        meanwhile; otherwise gateways would take the lease from each other.
 
-        :param record: the lease as it stands.
-        :param unchanged_ms: for how long it is known to stand so.
-        :param decided: whether its holder has decided what is due.
-        :returns: whether to take it.
+        :param record: the current lease.
+        :param unchanged_ms: milliseconds for which the lease is unchanged.
+        :param decided: whether its holder has decided the due window.
+        :returns: whether this gateway should take over the lease.
         """
-        seen = self._look()
-        if seen.hears_few and decided:
-            # Others have a holder that acts, which is not heard here.
+        snapshot = self._snapshot_peers()
+        if snapshot.hears_few and decided:
+            # The holder acts but is not connected to this gateway.
             return False
-        if not record.holder or record.name not in seen.heard:
+        if not record.holder or record.name not in snapshot.heard:
             return True
-        return unchanged_ms >= self._patience_ms
+        return unchanged_ms >= self._holder_timeout_ms
--- a/wingfall/gateway/duties/usage_duty.py
+++ b/wingfall/gateway/duties/usage_duty.py
@@ -1,8 +1,8 @@
-"""The duty to report usage: one report a window, whatever ends meanwhile.
+"""The duty to report usage: one report per window, also across failures.
 
-What will be reported is written into the lease first and sent then, so that a
-holder that follows sends the very same and nothing else. Windows that could not
-be reported are caught up in order, as long as they count.
+A report is written into the lease before it is sent, so that a later holder
+sends exactly the same report. Windows that could not be reported are sent later
+in order, until their deadline.
 """
 
 from __future__ import annotations
@@ -24,17 +24,19 @@
     from wingfall.gateway.model.duty import DutyCalls
     from wingfall.metrics import Metrics
 
-# Milliseconds after the end of a window at which its counts are summed up: a
-# second until the last ones are told, and another for busy loops and links.
+# Milliseconds after the end of a window at which its counts are added up: a
+# second until peers have sent the last counts, and another for busy loops and
+# links.
 _SETTLE_MS: Final = 2000
-# Milliseconds for one sending, within the time for which a holder may act.
-_LEAST_ACT_MS: Final = 100
+# Minimum time in milliseconds to send a report, within the time for which a
+# holder may act.
+_MIN_SEND_MS: Final = 100
 
 
 @final
 @duties.register('usage')
 class UsageDuty:
-    """Reports what has begun to run, while this gateway holds the lease."""
+    """Reports the usage of each window while this gateway holds the lease."""
 
     __slots__ = (
         '_calls',
@@ -57,15 +59,15 @@
         clock: Clock,
         metrics: Metrics,
     ) -> None:
-        """Begin with nothing reported.
-
-        :param terms: when reports are due.
-        :param lease: who may report.
-        :param standing: when this gateway steps in for the holder.
-        :param counts: what is reported.
-        :param calls: where reports go.
-        :param clock: the steady clock.
-        :param metrics: where reports are counted.
+        """Initialize the duty.
+
+        :param terms: the window length and deadline of reports.
+        :param lease: the lease that allows a gateway to report.
+        :param standing: decides when this gateway takes over the lease.
+        :param counts: the usage counts to report.
+        :param calls: sends reports to the platform.
+        :param clock: the monotonic clock.
+        :param metrics: the metrics that count reports.
         """
         self._terms = terms
         self._lease = lease
@@ -76,27 +78,27 @@
         self._metrics = metrics
 
     def step(self) -> None:
-        """Do what is due now."""
+        """Report due windows if this gateway holds or acquires the lease."""
         self._counts.forget_old()
-        self._drop_late()
+        self._skip_late()
         due = self._find_due()
         if not due:
             return
-        if self._lease.held or self._stand(due[0]):
+        if self._lease.held or self._try_takeover(due[0]):
             self._report(due)
 
-    def _drop_late(self) -> None:
-        late = self._counts.next_window
-        while self._counts.end_ms(late) > self._terms.late_ms:
+    def _skip_late(self) -> None:
+        late_window = self._counts.next_window
+        while self._counts.end_ms(late_window) > self._terms.late_ms:
             log_event(
                 'usage',
                 'A window was not reported in time.',
-                window=late,
+                window=late_window,
                 held=self._lease.held,
             )
             self._metrics.decisions.inc({'part': 'usage', 'reason': 'late'})
-            self._counts.delivered = late
-            late += 1
+            self._counts.delivered = late_window
+            late_window += 1
 
     def _find_due(self) -> list[int]:
         return [
@@ -105,11 +107,11 @@
             if self._counts.end_ms(window) >= _SETTLE_MS
         ]
 
-    def _stand(self, window: int) -> bool:
+    def _try_takeover(self, window: int) -> bool:
         waited_ms = self._counts.end_ms(window) - _SETTLE_MS
         if not self._standing.steps_in(waited_ms):
             return False
-        # What its holder has done meanwhile is news to this gateway.
+        # The holder may have updated the lease since the last read.
         if not self._lease.refresh():
             return False
         if self._lease.held:
@@ -117,7 +119,7 @@
         record, unchanged_ms = self._lease.record, self._lease.unchanged_ms
         decided = window <= record.decided
         if decided and window not in record.reports:
-            # Its holder delivered it before it decided later ones.
+            # The holder delivered this window before it decided later ones.
             self._counts.delivered = window
             return False
         if not self._standing.replaces(record, unchanged_ms, decided=decided):
@@ -136,7 +138,7 @@
         record = self._lease.record
         undecided = [window for window in due if window > record.decided]
         if not undecided:
-            # Sending again what stands: the lease must be held still.
+            # Resending decided reports requires that the lease is still held.
             return self._lease.refresh()
         if self._lease.held_ms < HEARD_MS:
             return False
@@ -152,32 +154,35 @@
     def _deliver(self, window: int) -> bool:
         counts = self._lease.record.reports.get(window)
         if counts is None:
-            # Its holder has delivered it before it decided later ones.
+            # The holder delivered this window before it decided later ones.
             self._counts.delivered = window
             return True
         act_ms = self._lease.act_ms
-        if act_ms < _LEAST_ACT_MS:
+        if act_ms < _MIN_SEND_MS:
             return False
         report = UsageReport(window=window, counts=counts)
         started_ms = self._clock.now_ms()
         self._lease.note_acted()
-        sent = self._calls.report_usage(report, self._lease.fence, act_ms)
+        answer = self._calls.report_usage(report, self._lease.fence, act_ms)
         self._lease.note_acted()
-        done = isinstance(sent, Success)
+        is_delivered = isinstance(answer, Success)
         self._metrics.decisions.inc(
-            {'part': 'usage', 'reason': 'reported' if done else 'failed'},
+            {
+                'part': 'usage',
+                'reason': 'reported' if is_delivered else 'failed',
+            },
         )
         log_event(
             'usage',
-            'A window was reported.' if done else 'A report failed.',
+            'A window was reported.' if is_delivered else 'A report failed.',
             window=window,
             token=self._lease.fence.token,
             requests=sum(counts.values()),
             customers=len(counts),
             ended_ms=self._counts.end_ms(window),
             ms=self._clock.now_ms() - started_ms,
-            reason='' if done else str(sent.failure()),
+            reason='' if is_delivered else str(answer.failure()),
         )
-        if done:
+        if is_delivered:
             self._counts.delivered = window
-        return done
+        return is_delivered
