--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -1,9 +1,9 @@
-"""A world in which gateways contend for the lease of the duties.
+"""A simulation of gateways that contend for the lease of the duties.
 
-The real rules run over a store and a platform in memory, with one clock for
-all. While a call of one gateway is under way others run, time passes, and the
-call may fail, lose its answer or take effect later. The platform judges what
-reaches it.
+The production code runs on a store and a platform in memory, with one clock for
+all gateways. During a call of one gateway, others run, time passes, and the
+call may fail, lose its answer or take effect later. The platform checks each
+report that it receives.
 """
 
 from __future__ import annotations
@@ -33,75 +33,75 @@
 
 
 @final
-class JudgingPlatform:
-    """Takes reports, and keeps what breaks the promises of a duty."""
+class CheckingPlatform:
+    """A platform that records reports and violations of the guarantees."""
 
     def __init__(self, *, clock: ManualClock) -> None:
-        """Start without a report.
+        """Create a platform without reports.
 
-        :param clock: the time.
+        :param clock: the shared clock.
         """
         self._clock = clock
         self.reports: dict[int, dict[str, int]] = {}
         self.acts: list[tuple[int, str, int]] = []
-        self.breaches: list[str] = []
+        self.violations: list[str] = []
 
     def accept(self, machine: str, report: UsageReport, fence: Fence) -> None:
-        """Take a report.
+        """Accept a report and check it.
 
-        :param machine: the machine that it comes from.
+        :param machine: the machine that sent the report.
         :param report: the report.
-        :param fence: under which right.
+        :param fence: the fence of the sender.
         """
         now_ms = self._clock.now_ms()
-        self._judge(machine, fence.token, now_ms)
+        self._check_act(machine, fence.token, now_ms)
         self.acts.append((now_ms, machine, fence.token))
         known = self.reports.setdefault(report.window, report.counts)
         if known != report.counts:
-            self.breaches.append(f'window {report.window} has two reports')
+            self.violations.append(f'window {report.window} has two reports')
 
-    def _judge(self, machine: str, token: int, now_ms: int) -> None:
+    def _check_act(self, machine: str, token: int, now_ms: int) -> None:
         if any(known > token for _ms, _machine, known in self.acts):
-            self.breaches.append(f'{machine} came with the old token {token}')
+            self.violations.append(f'{machine} used the old token {token}')
         if any(
             known == token and other != machine
             for _ms, other, known in self.acts
         ):
-            self.breaches.append(f'the token {token} is shared')
+            self.violations.append(f'the token {token} is shared')
         others = [ms for ms, other, _token in self.acts if other != machine]
         own = [ms for ms, other, _token in self.acts if other == machine]
         if any(
             mine < theirs and now_ms - mine < LEASE_MS
             for mine, theirs in itertools.product(own, others)
         ):
-            self.breaches.append(f'{machine} is back within the lease')
+            self.violations.append(f'{machine} acted again within the lease')
 
 
 @final
 class FaultyStore:
-    """One stored object, written by condition; calls fail as they are told."""
+    """A store of one object with conditional writes and scripted faults."""
 
     def __init__(self, *, world: LeaseWorld) -> None:
-        """Start without the object.
+        """Create an empty store.
 
-        :param world: tells what happens during a call.
+        :param world: provides the faults and events during calls.
         """
         self._world = world
         self.stored: StoredObject | None = None
         self.revision = 10
         self.calls = 0
-        # Writes that take effect later, if their condition holds then.
-        self.late: list[tuple[Any, int | None]] = []
+        # Writes that take effect later if their condition still holds.
+        self.late_writes: list[tuple[Any, int | None]] = []
 
     def read(self, name: str) -> Result[StoredObject | None, PlatformError]:
         """Read the object."""
         self.calls += 1
-        began_ms = self._world.clock.now_ms()
-        fault = self._world.take_fault()
-        self._world.pass_time()
+        started_ms = self._world.clock.now_ms()
+        fault = self._world.next_fault()
+        self._world.run_during_call()
         found = self.stored
-        self._world.pass_time()
-        return self._answer(fault == 'ok', found, began_ms)
+        self._world.run_during_call()
+        return self._answer(fault == 'ok', found, started_ms)
 
     def write(
         self,
@@ -109,32 +109,32 @@
         spec: Any,
         revision: int | None,
     ) -> Result[StoredObject, PlatformError]:
-        """Write the object by condition."""
+        """Write the object conditionally."""
         self.calls += 1
-        began_ms = self._world.clock.now_ms()
-        fault = self._world.take_fault()
-        self._world.pass_time()
+        started_ms = self._world.clock.now_ms()
+        fault = self._world.next_fault()
+        self._world.run_during_call()
         if fault == 'late':
-            self.late.append((spec, revision))
+            self.late_writes.append((spec, revision))
         if fault in {'late', 'down'}:
-            self._world.pass_time()
+            self._world.run_during_call()
             return _no_answer()
         written = self._apply(spec, revision)
-        self._world.pass_time()
+        self._world.run_during_call()
         if written is None and fault == 'ok':
             conflict = PlatformError(status=_CONFLICT, message='conflict')
             return Failure(conflict)
-        return self._answer(fault == 'ok', written, began_ms)
+        return self._answer(fault == 'ok', written, started_ms)
 
     def apply_late(self) -> None:
-        """Let the writes take effect whose answers were lost."""
-        late = self.late
-        self.late = []
-        for spec, revision in late:
+        """Apply the writes whose effect was delayed."""
+        writes = self.late_writes
+        self.late_writes = []
+        for spec, revision in writes:
             self._apply(spec, revision)
 
     def delete(self) -> None:
-        """Delete the object, as somebody else may."""
+        """Delete the object, as an external client may."""
         self.stored = None
         self.revision += 1
 
@@ -149,9 +149,9 @@
         return self.stored
 
     def _answer(
-        self, arrives: bool, found: Any, began_ms: int
+        self, arrives: bool, found: Any, started_ms: int
     ) -> Result[Any, PlatformError]:
-        took_ms = self._world.clock.now_ms() - began_ms
+        took_ms = self._world.clock.now_ms() - started_ms
         if arrives and took_ms <= STORE_TIMEOUT_MS:
             return Success(found)
         return _no_answer()
@@ -159,27 +159,27 @@
 
 @final
 class GatewayModel:
-    """One machine: a gateway's duties, and what reaches the platform."""
+    """A machine that runs the duties of a gateway."""
 
-    def __init__(self, *, world: LeaseWorld, name: str, before: int) -> None:
-        """Start its first process.
+    def __init__(self, *, world: LeaseWorld, name: str, position: int) -> None:
+        """Start the first process of the machine.
 
-        :param world: the world.
-        :param name: the machine.
-        :param before: how many go before it.
+        :param world: the simulation.
+        :param name: name of the machine.
+        :param position: number of gateways that precede this one.
         """
         self._world = world
         self.name = name
-        self._before = before
+        self._position = position
         self._starts = itertools.count()
-        self.busy = False
-        self.stopping = False
+        self.is_busy = False
+        self.is_stopped = False
         self.restart()
 
     def restart(self) -> None:
         """Start a new process on the machine."""
         world = self._world
-        self.stopping = False
+        self.is_stopped = False
         self.lease = Lease(
             name=self.name,
             holder=f'{self.name}/{next(self._starts)}',
@@ -196,8 +196,8 @@
                 clock=world.clock,
                 lease_ms=LEASE_MS,
                 new_ms=0,
-                look=self._look,
-                is_stopping=lambda: self.stopping,
+                look=self._snapshot_peers,
+                is_stopping=lambda: self.is_stopped,
             ),
             counts=self.counts,
             calls=self,
@@ -211,42 +211,42 @@
         fence: Fence,
         timeout_ms: int,
     ) -> Result[None, PlatformError]:
-        """Report a window; it arrives within the time or not at all."""
+        """Report a window, which arrives within the timeout or not at all."""
         world = self._world
-        began_ms = world.clock.now_ms()
-        fault = world.take_fault()
-        world.pass_time()
-        took_ms = world.clock.now_ms() - began_ms
+        started_ms = world.clock.now_ms()
+        fault = world.next_fault()
+        world.run_during_call()
+        took_ms = world.clock.now_ms() - started_ms
         if took_ms > timeout_ms or fault in {'late', 'down'}:
             return _no_answer()
         world.platform.accept(self.name, report, fence)
-        world.pass_time()
+        world.run_during_call()
         if fault == 'lost':
             return _no_answer()
         return Success(None)
 
     def step(self) -> None:
-        """Do what is due, unless a call is under way."""
+        """Perform due work unless a call is in progress."""
         self._run(self.duty.step)
 
     def stop(self) -> None:
-        """Give the lease back, as in a planned stop."""
-        self.stopping = True
+        """Release the lease, as in a planned stop."""
+        self.is_stopped = True
         self._run(self.lease.give_back)
 
-    def _run(self, body: Callable[[], None]) -> None:
-        if self.busy:
+    def _run(self, action: Callable[[], None]) -> None:
+        if self.is_busy:
             return
-        self.busy = True
-        # What it has counted differs from what others have.
+        self.is_busy = True
+        # The counts of each gateway differ.
         self.counts.note(self.name, self._world.clock.now_ms())
-        body()
-        self.busy = False
+        action()
+        self.is_busy = False
 
-    def _look(self) -> Peering:
+    def _snapshot_peers(self) -> Peering:
         return Peering(
-            before=self._before,
-            heard=self._world.heard - {self.name},
+            before=self._position,
+            heard=self._world.connected - {self.name},
             known=2,
             holder_heard=self._world.holder_heard,
         )
@@ -254,51 +254,51 @@
 
 @final
 class LeaseWorld:
-    """The gateways, the store and the platform."""
+    """A simulation of the gateways, the store and the platform."""
 
     def __init__(self) -> None:
-        """Start three gateways that have been up for a while."""
+        """Start three gateways whose wait after the start has ended."""
         self.clock = ManualClock(start_ms=1_000_000)
         self.metrics = Metrics()
         self.store = FaultyStore(world=self)
-        self.platform = JudgingPlatform(clock=self.clock)
+        self.platform = CheckingPlatform(clock=self.clock)
         self.holder_heard = False
-        # Gateways that the others hear.
-        self.heard = {'g0', 'g1', 'g2'}
-        # What happens to the next calls, and meanwhile.
+        # Names of the gateways that are connected to the others.
+        self.connected = {'g0', 'g1', 'g2'}
+        # Faults of the next calls, and actions that run during them.
         self.faults: list[str] = []
-        self.meanwhile: list[Callable[[], None]] = []
+        self.during_calls: list[Callable[[], None]] = []
         self.gateways = [
-            GatewayModel(world=self, name=f'g{number}', before=number)
+            GatewayModel(world=self, name=f'g{number}', position=number)
             for number in range(3)
         ]
         self.clock.advance(LEASE_MS + 1)
 
-    def tell(self, but: tuple[int, ...]) -> None:
-        """Let gateways tell each other how far reports are.
+    def share_delivered(self, paused: tuple[int, ...]) -> None:
+        """Share the last delivered window among the running gateways.
 
-        :param but: those that are paused.
+        :param paused: numbers of the paused gateways.
         """
-        told = [
+        running = [
             gateway
             for number, gateway in enumerate(self.gateways)
-            if number not in but
+            if number not in paused
         ]
-        for gateway in told:
-            for other in told:
+        for gateway in running:
+            for other in running:
                 gateway.counts.note_delivered(other.counts.delivered)
 
-    def take_fault(self) -> str:
-        """Take what happens to the next call.
+    def next_fault(self) -> str:
+        """Return the fault of the next call.
 
         :returns: ``ok``, ``down``, ``lost`` or ``late``.
         """
         return self.faults.pop(0) if self.faults else 'ok'
 
-    def pass_time(self) -> None:
-        """Let happen what happens while a call is under way."""
-        if self.meanwhile:
-            self.meanwhile.pop(0)()
+    def run_during_call(self) -> None:
+        """Run the next action during a call, or advance the clock."""
+        if self.during_calls:
+            self.during_calls.pop(0)()
         else:
             self.clock.advance(2)
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -1,4 +1,4 @@
-"""Gateway processes report usage: once, truly and in time."""
+"""Tests that gateway processes report usage once, correctly and in time."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
     import pathlib
     from collections.abc import Iterator
 
-CALLERS = 8
+CALLER_COUNT = 8
 
 
 @pytest.fixture
 def site(tmp_path: pathlib.Path) -> Iterator[SoakSite]:
-    """Give three gateways that report usage."""
+    """Run three gateways that report usage."""
     platform = DutyPlatformStandIn(lease_s=LEASE_S)
     server = start_server(platform.app)
     running = SoakSite(
@@ -56,20 +56,20 @@
 
 
 def wait_for_reports(site: SoakSite, count: int) -> None:
-    """Wait until some more windows are reported."""
+    """Wait until a number of further windows is reported."""
     wanted = len(site.duty_platform.reports) + count
     wait_until(lambda: len(site.duty_platform.reports) >= wanted)
 
 
 @pytest.mark.processes
 def test_windows_are_reported_truly(site: SoakSite):
-    traffic = Traffic(site=site, seed=1, callers=CALLERS)
+    traffic = Traffic(site=site, seed=1, callers=CALLER_COUNT)
     wait_for_reports(site, 6)
     traffic.stop()
     reports = site.duty_platform.reports
     assert len({act.token for act in site.duty_platform.acts}) == 1
     requests = sorted(sum(each.values()) for each in reports.values())
-    # The first may have begun before the callers.
+    # The first windows may have begun before the callers.
     assert requests[2] > 20
     assert not list(usage_is_reported(site, traffic.outcomes))
     assert not site.duty_platform.breaches
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""At most one gateway acts at a time, whatever happens to it and its calls."""
+"""Tests that at most one gateway acts at a time, also if calls fail."""
 
 from __future__ import annotations
 
@@ -23,30 +23,32 @@
 )
 from wingfall.gateway.model.duty import LeaseRecord, read_lease_record
 
-GATEWAYS = st.integers(min_value=0, max_value=2)
+GATEWAY_NUMBERS = st.integers(min_value=0, max_value=2)
 DELAYS_MS = st.sampled_from([1, 50, 200, 700, 1000, 1400, 2000, 3100, 6000])
 FAULTS = st.sampled_from(['ok', 'down', 'lost', 'late'])
 
 
 @pytest.fixture
 def world() -> LeaseWorld:
-    """Give three gateways."""
+    """Return a simulation of three gateways."""
     return LeaseWorld()
 
 
-def run_for(world: LeaseWorld, ms: int, *, but: tuple[int, ...] = ()) -> None:
-    """Let all gateways do what is due each 200 ms."""
-    for _turn in range(ms // 200):
+def run_for(
+    world: LeaseWorld, ms: int, *, paused: tuple[int, ...] = ()
+) -> None:
+    """Run a step of each gateway that is not paused every 200 ms."""
+    for _step in range(ms // 200):
         world.clock.advance(200)
         for number, gateway in enumerate(world.gateways):
-            if number not in but:
+            if number not in paused:
                 gateway.step()
-        world.tell(but)
+        world.share_delivered(paused)
 
 
 def test_each_window_is_reported_once_by_one(world: LeaseWorld):
     run_for(world, 6 * WINDOW_MS)
-    assert not world.platform.breaches
+    assert not world.platform.violations
     assert len(world.platform.reports) == len(world.platform.acts)
     assert len(world.platform.reports) >= 4
     assert len({machine for _ms, machine, _token in world.platform.acts}) == 1
@@ -56,7 +58,7 @@
     run_for(world, 2 * WINDOW_MS)
     holder = next(each for each in world.gateways if each.lease.held)
     before, reported = world.store.calls, len(world.platform.reports)
-    for _turn in range(2 * WINDOW_MS // 200):
+    for _step in range(2 * WINDOW_MS // 200):
         world.clock.advance(200)
         holder.step()
     calls = world.store.calls - before
@@ -68,16 +70,16 @@
     holder = next(
         number for number, each in enumerate(world.gateways) if each.lease.held
     )
-    run_for(world, 4 * WINDOW_MS, but=(holder,))
+    run_for(world, 4 * WINDOW_MS, paused=(holder,))
     windows = sorted(world.platform.reports)
     assert windows == list(range(windows[0], windows[-1] + 1))
     for at_ms, _machine, _token in world.platform.acts:
         assert at_ms - (windows[-1] + 1) * WINDOW_MS <= LATE_MS
-    assert not world.platform.breaches
-    # The one that was silent finds out by its next write.
+    assert not world.platform.violations
+    # The paused gateway detects the loss by its next write.
     world.gateways[holder].step()
     run_for(world, 2 * WINDOW_MS)
-    assert not world.platform.breaches
+    assert not world.platform.violations
 
 
 def test_lease_that_was_given_back_waits_for_counts_alone(world: LeaseWorld):
@@ -90,14 +92,14 @@
     follower.step()
     assert follower.lease.ready
     assert world.platform.acts[-1][1] == holder.name
-    # What peers tell once they hear that it is the holder.
+    # Counts that a peer sends once it knows the new holder.
     follower.counts.take('peer/1', [(follower.counts.window - 1, 'x', 7)])
     world.clock.advance(1500)
     follower.step()
     assert world.platform.acts[-1][1] == follower.name
     reported = list(world.platform.reports.values())[-1]
     assert reported['x'] == 7
-    assert not world.platform.breaches
+    assert not world.platform.violations
 
 
 def test_token_rises_when_the_object_is_made_anew(world: LeaseWorld):
@@ -106,7 +108,7 @@
     world.store.delete()
     run_for(world, 3 * WINDOW_MS)
     assert world.platform.acts[-1][2] > before
-    assert not world.platform.breaches
+    assert not world.platform.violations
 
 
 def test_late_write_of_the_lease_is_found_again(world: LeaseWorld):
@@ -122,26 +124,26 @@
     assert first.lease.fence.token == world.store.revision
 
 
-def due_for_long(world: LeaseWorld) -> tuple[GatewayModel, GatewayModel]:
-    """Give the holder and another one, when a window is overdue."""
+def make_window_overdue(world: LeaseWorld) -> tuple[GatewayModel, GatewayModel]:
+    """Make a window overdue and return the holder and another gateway."""
     run_for(world, 2 * WINDOW_MS)
     holder = next(each for each in world.gateways if each.lease.held)
     other = next(each for each in world.gateways if each is not holder)
     world.clock.advance(WINDOW_MS + 6000)
-    world.heard.remove(holder.name)
+    world.connected.remove(holder.name)
     return holder, other
 
 
 def test_next_holder_waits_for_what_is_on_its_way(world: LeaseWorld):
-    holder, other = due_for_long(world)
-    # The write's effect and answer, then the sending of the report.
-    world.meanwhile = [wait, wait, other.step]
+    holder, other = make_window_overdue(world)
+    # During the write, its answer, and then the sending of the report.
+    world.during_calls = [do_nothing, do_nothing, other.step]
     holder.step()
     assert other.lease.held
     assert not other.lease.ready
     run_for(world, WINDOW_MS)
     assert world.platform.acts[-1][1] == other.name
-    assert not world.platform.breaches
+    assert not world.platform.violations
 
 
 def test_holder_that_waits_is_left_alone(world: LeaseWorld):
@@ -149,32 +151,32 @@
     (holder,) = [
         number for number, each in enumerate(world.gateways) if each.lease.held
     ]
-    world.heard.remove(world.gateways[holder].name)
+    world.connected.remove(world.gateways[holder].name)
     before = len(world.platform.acts)
-    taken = set()
-    for _turn in range(2 * WINDOW_MS // 200):
-        run_for(world, 200, but=(holder,))
-        taken |= {each.name for each in world.gateways if each.lease.held}
-    assert len(taken - {world.gateways[holder].name}) == 1
+    holders = set()
+    for _step in range(2 * WINDOW_MS // 200):
+        run_for(world, 200, paused=(holder,))
+        holders |= {each.name for each in world.gateways if each.lease.held}
+    assert len(holders - {world.gateways[holder].name}) == 1
     assert len(world.platform.acts) > before
 
 
 def test_report_that_is_on_its_way_for_too_long_is_reset(world: LeaseWorld):
-    holder, other = due_for_long(world)
+    holder, other = make_window_overdue(world)
 
     def take_over() -> None:
         other.step()
         world.clock.advance(LEASE_MS)
         other.step()
 
-    world.meanwhile = [wait, wait, take_over]
+    world.during_calls = [do_nothing, do_nothing, take_over]
     holder.step()
     assert world.platform.acts[-1][1] == other.name
-    assert not world.platform.breaches
+    assert not world.platform.violations
 
 
 def test_holder_that_comes_back_waits_for_a_whole_lease(world: LeaseWorld):
-    holder, other = due_for_long(world)
+    holder, other = make_window_overdue(world)
     holder.step()
     acted_ms = world.platform.acts[-1][0]
     other.lease.refresh()
@@ -193,7 +195,7 @@
 def test_process_that_has_started_stands_after_a_whole_lease(
     world: LeaseWorld,
 ):
-    holder, _other = due_for_long(world)
+    holder, _other = make_window_overdue(world)
     holder.step()
     holder.stop()
     holder.restart()
@@ -204,8 +206,8 @@
     assert not holder.lease.held
 
 
-def wait() -> None:
-    """Let nothing happen."""
+def do_nothing() -> None:
+    """Run nothing during a call."""
 
 
 @pytest.mark.parametrize('spec', [None, 7, {}, {'holder': 'x'}, 'text'])
@@ -225,71 +227,77 @@
 
 
 def has_late_writes(machine: LeaseMachine) -> bool:
-    """Tell whether writes are under way whose answers were lost."""
-    return bool(machine.world.store.late)
+    """Check if delayed writes are pending."""
+    return bool(machine.world.store.late_writes)
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Any order of steps, pauses, restarts, and calls that fail or are late."""
+    """Any order of steps, pauses, restarts, and failing or late calls."""
 
     def __init__(self) -> None:
-        """Start the world."""
+        """Create the simulation."""
         super().__init__()
         self.world = LeaseWorld()
 
-    @rule(gateway=GATEWAYS)
+    @rule(gateway=GATEWAY_NUMBERS)
     def step(self, gateway: int) -> None:
-        """Let a gateway do what is due."""
+        """Run a step of a gateway."""
         self.world.gateways[gateway].step()
 
     @rule(delay_ms=DELAYS_MS)
     def wait(self, delay_ms: int) -> None:
-        """Let time pass, in which all are paused."""
+        """Advance the clock while all gateways are paused."""
         self.world.clock.advance(delay_ms)
 
-    @rule(windows=st.integers(1, 2), but=st.sets(GATEWAYS, max_size=2))
-    def run_on(self, windows: int, but: set[int]) -> None:
-        """Let gateways run while others are paused."""
-        run_for(self.world, windows * WINDOW_MS // 2, but=tuple(but))
+    @rule(
+        windows=st.integers(1, 2), paused=st.sets(GATEWAY_NUMBERS, max_size=2)
+    )
+    def run_others(self, windows: int, paused: set[int]) -> None:
+        """Run some gateways while others are paused."""
+        run_for(self.world, windows * WINDOW_MS // 2, paused=tuple(paused))
 
     @rule(faults=st.lists(FAULTS, max_size=4))
-    def fail(self, faults: list[str]) -> None:
-        """Tell what happens to the next calls."""
+    def set_faults(self, faults: list[str]) -> None:
+        """Set the faults of the next calls."""
         self.world.faults = faults
 
-    @rule(steps=st.lists(st.tuples(GATEWAYS, DELAYS_MS, DELAYS_MS), max_size=4))
+    @rule(
+        steps=st.lists(
+            st.tuples(GATEWAY_NUMBERS, DELAYS_MS, DELAYS_MS), max_size=4
+        )
+    )
     def run_meanwhile(self, steps: list[tuple[int, int, int]]) -> None:
-        """Tell who runs while the next calls are under way."""
-        self.world.meanwhile = [
+        """Set the gateways that run during the next calls."""
+        self.world.during_calls = [
             functools.partial(self._interrupt, *step) for step in steps
         ]
 
-    @rule(gateway=GATEWAYS)
+    @rule(gateway=GATEWAY_NUMBERS)
     def restart(self, gateway: int) -> None:
-        """Kill a gateway and start it again at once."""
-        if not self.world.gateways[gateway].busy:
+        """Kill a gateway and restart it at once."""
+        if not self.world.gateways[gateway].is_busy:
             self.world.gateways[gateway].restart()
 
-    @rule(gateway=GATEWAYS)
+    @rule(gateway=GATEWAY_NUMBERS)
     def stop(self, gateway: int) -> None:
-        """Stop a gateway by plan and start it again."""
+        """Stop a gateway as planned and restart it."""
         self.world.gateways[gateway].stop()
         self.world.gateways[gateway].restart()
 
     @rule(heard=st.booleans())
-    def hear_holder(self, heard: bool) -> None:
-        """Tell whether gateways hear the holder."""
+    def set_holder_heard(self, heard: bool) -> None:
+        """Set whether a peer reports that it holds the lease."""
         self.world.holder_heard = heard
 
     @rule(gateways=st.sets(st.sampled_from(['g0', 'g1', 'g2'])))
-    def hear(self, gateways: set[str]) -> None:
-        """Tell which gateways the others hear."""
-        self.world.heard = set(gateways)
+    def set_connected(self, gateways: set[str]) -> None:
+        """Set which gateways are connected to the others."""
+        self.world.connected = set(gateways)
 
     @precondition(has_late_writes)
     @rule()
     def apply_late(self) -> None:
-        """Let writes take effect whose answers were lost."""
+        """Apply the delayed writes."""
         self.world.store.apply_late()
 
     @rule()
@@ -298,9 +306,9 @@
         self.world.store.delete()
 
     @invariant()
-    def one_acts(self) -> None:
-        """Nothing that reached the platform broke a promise."""
-        assert not self.world.platform.breaches
+    def check_no_violations(self) -> None:
+        """Check that no report violated a guarantee."""
+        assert not self.world.platform.violations
 
     def _interrupt(self, gateway: int, before_ms: int, after_ms: int) -> None:
         self.world.clock.advance(before_ms)
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -1,4 +1,4 @@
-"""Who steps in for the holder of the lease, and when."""
+"""Tests of the policy by which a gateway takes over the lease."""
 
 from __future__ import annotations
 
@@ -10,135 +10,135 @@
 
 LEASE_MS = 3000
 NEW_MS = 10_000
-ALL = frozenset(('a', 'b', 'c'))
-HELD = LeaseRecord(holder='a/1', name='a')
+ALL_PEERS = frozenset(('a', 'b', 'c'))
+HELD_LEASE = LeaseRecord(holder='a/1', name='a')
 
 
-class Sight:
-    """What the gateway sees, which a test changes."""
+class FakePeers:
+    """The peers that the gateway knows, which a test can change."""
 
     def __init__(self) -> None:
-        """See all, with the own gateway first."""
-        self.seen = {
+        """Connect all peers, with the gateway under test first."""
+        self.fields = {
             'before': 0,
-            'heard': ALL,
+            'heard': ALL_PEERS,
             'known': 3,
             'holder_heard': False,
         }
-        self.stopping = False
+        self.is_stopping = False
 
-    def look(self) -> Peering:
-        """Tell what is seen."""
-        return Peering(**self.seen)
+    def snapshot(self) -> Peering:
+        """Return a snapshot of the peers."""
+        return Peering(**self.fields)
 
 
 @pytest.fixture
-def sight() -> Sight:
-    """Give a sight of all others."""
-    return Sight()
+def peers() -> FakePeers:
+    """Return peers that are all connected."""
+    return FakePeers()
 
 
 @pytest.fixture
-def standing(clock: ManualClock, sight: Sight) -> Standing:
-    """Give a gateway that has been up for long."""
-    made = Standing(
+def policy(clock: ManualClock, peers: FakePeers) -> Standing:
+    """Return the policy of a gateway that no longer counts as new."""
+    policy = Standing(
         clock=clock,
         lease_ms=LEASE_MS,
         new_ms=NEW_MS,
-        look=sight.look,
-        is_stopping=lambda: sight.stopping,
+        look=peers.snapshot,
+        is_stopping=lambda: peers.is_stopping,
     )
     clock.advance(NEW_MS)
-    return made
+    return policy
 
 
-def first_turn_ms(standing: Standing) -> int:
-    """Find for how long something must be due before it steps in."""
+def required_wait_ms(policy: Standing) -> int:
+    """Return for how long a report must be due before a takeover."""
     return next(
         waited_ms
         for waited_ms in range(0, 20_000, 100)
-        if standing.steps_in(waited_ms)
+        if policy.steps_in(waited_ms)
     )
 
 
-def test_first_steps_in_at_once_if_no_holder_is_heard(standing: Standing):
-    assert first_turn_ms(standing) == 0
+def test_first_steps_in_at_once_if_no_holder_is_heard(policy: Standing):
+    assert required_wait_ms(policy) == 0
 
 
-def test_each_waits_for_those_before_it(standing: Standing, sight: Sight):
-    sight.seen['before'] = 2
-    assert first_turn_ms(standing) == 600
+def test_each_waits_for_those_before_it(policy: Standing, peers: FakePeers):
+    peers.fields['before'] = 2
+    assert required_wait_ms(policy) == 600
 
 
-def test_holder_that_is_heard_is_waited_for(standing: Standing, sight: Sight):
-    sight.seen['holder_heard'] = True
-    assert first_turn_ms(standing) == 1500
+def test_holder_that_is_heard_is_waited_for(policy: Standing, peers: FakePeers):
+    peers.fields['holder_heard'] = True
+    assert required_wait_ms(policy) == 1500
 
 
 def test_one_that_has_just_started_goes_behind_others(
-    clock: ManualClock, sight: Sight
+    clock: ManualClock, peers: FakePeers
 ):
-    started = Standing(
+    policy = Standing(
         clock=clock,
         lease_ms=LEASE_MS,
         new_ms=NEW_MS,
-        look=sight.look,
+        look=peers.snapshot,
         is_stopping=bool,
     )
     clock.advance(LEASE_MS)
-    assert not started.steps_in(20_000)
+    assert not policy.steps_in(20_000)
     clock.advance(1)
-    assert first_turn_ms(started) == 900
+    assert required_wait_ms(policy) == 900
 
 
-def test_one_that_stops_does_not_stand(standing: Standing, sight: Sight):
-    sight.stopping = True
-    assert not standing.steps_in(20_000)
+def test_one_that_stops_does_not_stand(policy: Standing, peers: FakePeers):
+    peers.is_stopping = True
+    assert not policy.steps_in(20_000)
 
 
-def test_looks_are_half_a_second_apart(clock: ManualClock, standing: Standing):
-    assert standing.steps_in(1000)
-    assert not standing.steps_in(1000)
+def test_looks_are_half_a_second_apart(clock: ManualClock, policy: Standing):
+    assert policy.steps_in(1000)
+    assert not policy.steps_in(1000)
     clock.advance(500)
-    assert standing.steps_in(1000)
+    assert policy.steps_in(1000)
 
 
-def test_last_gateway_that_is_left_stands(standing: Standing, sight: Sight):
-    # Seeds are known for good, also those that are gone.
-    sight.seen['heard'] = frozenset()
-    assert first_turn_ms(standing) == 3000
-    assert standing.replaces(HELD, 0, decided=False)
+def test_last_gateway_that_is_left_stands(policy: Standing, peers: FakePeers):
+    # Seeds stay known after they have ended.
+    peers.fields['heard'] = frozenset()
+    assert required_wait_ms(policy) == 3000
+    assert policy.replaces(HELD_LEASE, 0, decided=False)
 
 
 def test_gateway_that_is_cut_off_leaves_the_holder_alone(
-    standing: Standing, sight: Sight
+    policy: Standing, peers: FakePeers
 ):
-    sight.seen['heard'] = frozenset()
-    assert not standing.replaces(HELD, 20_000, decided=True)
+    peers.fields['heard'] = frozenset()
+    assert not policy.replaces(HELD_LEASE, 20_000, decided=True)
 
 
-def test_holder_that_is_heard_has_a_lease_of_time(standing: Standing):
-    assert not standing.replaces(HELD, LEASE_MS - 1, decided=False)
-    assert standing.replaces(HELD, LEASE_MS, decided=False)
+def test_holder_that_is_heard_has_a_lease_of_time(policy: Standing):
+    assert not policy.replaces(HELD_LEASE, LEASE_MS - 1, decided=False)
+    assert policy.replaces(HELD_LEASE, LEASE_MS, decided=False)
 
 
 def test_holder_of_a_short_lease_has_time_to_hear_counts(
-    clock: ManualClock, sight: Sight
+    clock: ManualClock, peers: FakePeers
 ):
-    # Two gateways took a lease of 1.2 s from each other each 1.6 s, while a
+    # Two gateways took a lease of 1.2 s from each other every 1.6 s, while a
     # holder waits 1.5 s for counts; no window was reported.
-    short = Standing(
+    policy = Standing(
         clock=clock,
         lease_ms=1200,
         new_ms=NEW_MS,
-        look=sight.look,
+        look=peers.snapshot,
         is_stopping=bool,
     )
-    assert not short.replaces(HELD, 2499, decided=False)
-    assert short.replaces(HELD, 2500, decided=False)
+    assert not policy.replaces(HELD_LEASE, 2499, decided=False)
+    assert policy.replaces(HELD_LEASE, 2500, decided=False)
 
 
-def test_holder_that_is_gone_is_replaced_at_once(standing: Standing):
-    gone = LeaseRecord(holder='d/1', name='d')
-    assert standing.replaces(gone, 0, decided=True)
-    assert standing.replaces(LeaseRecord(), 0, decided=False)
+def test_holder_that_is_gone_is_replaced_at_once(policy: Standing):
+    disconnected = LeaseRecord(holder='d/1', name='d')
+    assert policy.replaces(disconnected, 0, decided=True)
+    assert policy.replaces(LeaseRecord(), 0, decided=False)
