--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -128,9 +128,9 @@
 
     def apply_late(self) -> None:
         """Apply the writes whose effect was delayed."""
-        writes = self.late_writes
+        late_writes = self.late_writes
         self.late_writes = []
-        for spec, revision in writes:
+        for spec, revision in late_writes:
             self._apply(spec, revision)
 
     def delete(self) -> None:
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -41,7 +41,7 @@
 @pytest.fixture
 def policy(clock: ManualClock, peers: FakePeers) -> Standing:
     """Return the policy of a gateway that no longer counts as new."""
-    policy = Standing(
+    created = Standing(
         clock=clock,
         lease_ms=LEASE_MS,
         new_ms=NEW_MS,
@@ -49,7 +49,7 @@
         is_stopping=lambda: peers.is_stopping,
     )
     clock.advance(NEW_MS)
-    return policy
+    return created
 
 
 def required_wait_ms(policy: Standing) -> int:
--- a/wingfall/gateway/duties/duty.py
+++ b/wingfall/gateway/duties/duty.py
@@ -25,8 +25,8 @@
         """Initialize the terms.
 
         :param window_ms: length of a window in milliseconds.
-        :param late_ms: milliseconds after the end of a window from which its
-            report is ignored.
+        :param late_ms: milliseconds after the end of a window from which
+            its report is ignored.
         """
         self.window_ms = window_ms
         self.late_ms = late_ms
--- a/wingfall/gateway/duties/standing.py
+++ b/wingfall/gateway/duties/standing.py
@@ -99,7 +99,7 @@
 
         :param clock: the monotonic clock.
         :param lease_ms: length of the lease in milliseconds.
-        :param new_ms: milliseconds for which a started gateway counts as new.
+        :param new_ms: milliseconds for which a gateway counts as new.
         :param look: returns a snapshot of the other gateways.
         :param is_stopping: whether a planned stop has begun.
         """
--- a/wingfall/gateway/duties/usage_duty.py
+++ b/wingfall/gateway/duties/usage_duty.py
@@ -44,7 +44,7 @@
         '_counts',
         '_lease',
         '_metrics',
-        '_standing',
+        '_takeover_policy',
         '_terms',
     )
 
@@ -71,7 +71,7 @@
         """
         self._terms = terms
         self._lease = lease
-        self._standing = standing
+        self._takeover_policy = standing
         self._counts = counts
         self._calls = calls
         self._clock = clock
@@ -109,7 +109,7 @@
 
     def _try_takeover(self, window: int) -> bool:
         waited_ms = self._counts.end_ms(window) - _SETTLE_MS
-        if not self._standing.steps_in(waited_ms):
+        if not self._takeover_policy.steps_in(waited_ms):
             return False
         # The holder may have updated the lease since the last read.
         if not self._lease.refresh():
@@ -122,7 +122,9 @@
             # The holder delivered this window before it decided later ones.
             self._counts.delivered = window
             return False
-        if not self._standing.replaces(record, unchanged_ms, decided=decided):
+        if not self._takeover_policy.replaces(
+            record, unchanged_ms, decided=decided
+        ):
             return False
         return self._lease.take(decided=self._counts.window - 1)
 
