--- a/wingfall/gateway/duties/usage_duty.py
+++ b/wingfall/gateway/duties/usage_duty.py
@@ -1,4 +1,4 @@
-"""The duty to report usage: one report per window, also across failures.
+"""The duty to report usage: one report per window, even if gateways end.
 
 A report is written into the lease before it is sent, so that a later holder
 sends exactly the same report. Windows that could not be reported are sent later
