--- a/wingfall/gateway/configuration/__init__.py
+++ b/wingfall/gateway/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Objects of the platform's store: followed, kept, and put in force."""
+"""Replication of the platform's objects from its store, and their use."""
--- a/wingfall/gateway/configuration/follower.py
+++ b/wingfall/gateway/configuration/follower.py
@@ -1,7 +1,7 @@
 """Follows one kind of object in the platform's store: list, then watch.
 
 Owns the revision up to which the store has been read. Only gateways on watch
-duty ask; the others leave it to their peers. What is read goes to a replica.
+duty call the store; the others rely on their peers. Changes go to a replica.
 """
 
 from __future__ import annotations
@@ -26,37 +26,37 @@
     from wingfall.gateway.configuration.replica import ObjectReplica
     from wingfall.gateway.model.object_store import ObjectStore, StoreReading
 
-# Milliseconds from a failed call to the next; the time doubles with each, so
-# that one lost answer costs little.
+# Milliseconds from a failed call to the next; the delay doubles with each
+# failure, so that one lost answer costs little.
 _MIN_RETRY_MS: Final = 100
-# Milliseconds between the calls of gateways that lead, while the store is lost:
-# chosen so that a change is in force within a second of its return.
-_MAX_RETRY_MS: Final = 800
-# The same for all others, which wait for those that lead: 560 of 1,190 calls of
-# a grown day with an outage were of gateways that asked each 0.8 s.
-_MAX_RETRY_BEHIND_MS: Final = 4000
-# Milliseconds between two looks whether to watch: adds to the time in which a
-# gateway steps in for another.
-_IDLE_MS: Final = 100
-# Milliseconds for which a watch rests after a change, so that those that follow
-# are read with one call: four watchers without it made a sixth to a quarter
-# more calls than three with it.
+# Maximum for gateways that lead in asking a lost store: a change is in force
+# within a second of the store's return.
+_MAX_LEADING_RETRY_MS: Final = 800
+# Maximum for all other gateways, which wait for the leading ones: with 0.8 s
+# they made 560 of the 1,190 calls of a grown day with an outage.
+_MAX_OTHER_RETRY_MS: Final = 4000
+# Interval of the check whether to watch; adds to the time that a gateway needs
+# to take over the watch of another.
+_POLL_INTERVAL_MS: Final = 100
+# Pause of a watch after a change, so that one call covers the changes that
+# follow: four watchers without the pause made a sixth to a quarter more calls
+# than three with it.
 REST_MS: Final = 150
 
 
 @final
 class StoreFollower:
-    """Keeps a replica up to date while the store can be reached."""
+    """Updates a replica from the store while the store can be reached."""
 
     __slots__ = (
         '_backoff',
         '_clock',
-        '_answered_ms',
-        '_held',
+        '_last_answer_ms',
+        '_was_watching',
         '_holds_watch',
-        '_idle',
-        '_leads',
-        '_lost',
+        '_is_idle',
+        '_is_leading',
+        '_is_lost',
         '_must_list',
         '_replica',
         '_revision',
@@ -72,100 +72,104 @@
         holds_watch: Callable[[], bool],
         leads: Callable[[], bool],
     ) -> None:
-        """Set up a follower.
+        """Initialize a follower.
 
         :param store: the platform's store of the kind.
-        :param replica: the copy to keep.
-        :param clock: the time.
-        :param holds_watch: whether to watch, or to leave it to the peers.
-        :param leads: whether to be among the first to ask a lost store.
+        :param replica: replica to update.
+        :param clock: source of the current time.
+        :param holds_watch: returns whether this gateway is on watch duty.
+        :param leads: returns whether this gateway is among the first to ask a
+            lost store.
         """
         self._store = store
         self._replica = replica
         self._clock = clock
         self._holds_watch = holds_watch
-        self._leads = leads
-        self._answered_ms = 0
-        # Whether it watched the store at the last look, for the log.
-        self._held = False
+        self._is_leading = leads
+        self._last_answer_ms = 0
+        # Whether this gateway was on watch duty at the last check, for the log.
+        self._was_watching = False
         self._revision: int | None = None
-        # The store has forgotten the history up to the revision.
+        # A list is required: the store has dropped the history up to the
+        # revision, or a watch could not be read.
         self._must_list = False
-        self._lost = False
-        # Peers watched last; what the store says now has not been asked.
-        self._idle = False
+        self._is_lost = False
+        # Peers were on watch duty; the store has not been called since.
+        self._is_idle = False
         self._backoff = Backoff(
             min_ms=_MIN_RETRY_MS,
-            max_ms=_MAX_RETRY_BEHIND_MS,
+            max_ms=_MAX_OTHER_RETRY_MS,
         )
 
     @property
     def kind(self) -> str:
-        """Kind of the objects that it follows."""
+        """Kind of the followed objects."""
         return self._replica.kind
 
     def has_answered(self, within_ms: int) -> bool:
-        """Tell whether the store has answered lately.
+        """Check if the store has answered lately.
 
-        :param within_ms: how long ago at most.
-        :returns: whether it has, and has not failed since.
+        :param within_ms: maximum age of the last answer in milliseconds.
+        :returns: whether the store has answered, and has not failed since.
         """
-        age_ms = self._clock.now_ms() - self._answered_ms
+        age_ms = self._clock.now_ms() - self._last_answer_ms
         return (
-            not self._lost and bool(self._answered_ms) and age_ms <= within_ms
+            not self._is_lost
+            and bool(self._last_answer_ms)
+            and age_ms <= within_ms
         )
 
     def follow(self, stop: Event) -> None:
-        """Follow until told to stop.
+        """Follow the store until the process ends.
 
         :param stop: set when the process ends.
         """
         while not stop.is_set():
-            self._take_peers_revision()
+            self._adopt_peer_revision()
             holds_watch = self._holds_watch()
-            self._note_held(held=holds_watch)
+            self._note_watch_duty(is_watching=holds_watch)
             if self._revision is not None and not holds_watch:
-                self._idle = True
-                gevent.sleep(_IDLE_MS / MS_PER_S)
-            elif self._step():
+                self._is_idle = True
+                gevent.sleep(_POLL_INTERVAL_MS / MS_PER_S)
+            elif self._call_store():
                 self._backoff.reset()
             else:
-                self._rest()
+                self._wait_for_retry()
 
-    def _take_peers_revision(self) -> None:
-        # What a peer gave is complete, so that no list is needed.
+    def _adopt_peer_revision(self) -> None:
+        # Objects from a peer are complete, so that no list is needed.
         if self._revision is None and not self._must_list:
             self._revision = self._replica.revision or None
 
-    def _rest(self) -> None:
+    def _wait_for_retry(self) -> None:
         jitter = random.uniform(0.5, 1)  # noqa: S311, WPS432
         failed_ms = self._clock.now_ms()
         backoff_ms = self._backoff.take_ms()
-        # The gateways that lead may end meanwhile.
+        # A leading gateway may end meanwhile, so that this one has to lead.
         while True:
-            rest_ms = retry_ms(backoff_ms, leads=self._leads()) * jitter
+            rest_ms = retry_ms(backoff_ms, leads=self._is_leading()) * jitter
             if self._clock.now_ms() - failed_ms >= rest_ms:
                 return
-            gevent.sleep(_IDLE_MS / MS_PER_S)
+            gevent.sleep(_POLL_INTERVAL_MS / MS_PER_S)
 
-    def _step(self) -> bool:
+    def _call_store(self) -> bool:
         asked_ms = self._clock.now_ms()
         revision = self._revision
         if revision is not None:
-            # Peers may have told more than the store did.
+            # Peers may have sent later changes than the store.
             revision = max(revision, self._replica.revision)
-        read = self._read(revision)
-        if not isinstance(read, Success):
-            self._note_failed(read.failure())
+        answer = self._list_or_watch(revision)
+        if not isinstance(answer, Success):
+            self._note_failed(answer.failure())
             return False
-        reading = read.unwrap()
+        reading = answer.unwrap()
         if revision is None:
             self._replica.apply_list(reading)
         else:
             self._replica.apply_changes(reading)
         self._revision = max(reading.revision, revision or 0)
         self._must_list = False
-        self._idle = False
+        self._is_idle = False
         self._note_progress()
         self._note_regained()
         if reading.objects:
@@ -176,48 +180,48 @@
                 call='list' if revision is None else 'watch',
                 objects=len(reading.objects),
                 revision=reading.revision,
-                ms=self._answered_ms - asked_ms,
+                ms=self._last_answer_ms - asked_ms,
             )
             gevent.sleep(REST_MS / MS_PER_S)
         return True
 
-    def _read(
+    def _list_or_watch(
         self,
         revision: int | None,
     ) -> Result[StoreReading, PlatformError]:
         if revision is None:
             return self._store.list_all(progress=self._note_progress)
-        # A store that has fallen silent lets a watch hang for its whole time,
-        # also if it is back meanwhile. A gateway that steps in is heard to
-        # watch by its peers once the store has answered it.
+        # A watch of an unresponsive store hangs for its whole time, even if the
+        # store is back meanwhile. A gateway that takes over is known to watch
+        # by its peers only once the store has answered.
         return self._store.watch(
             revision,
-            brief=self._lost or self._idle,
+            brief=self._is_lost or self._is_idle,
             progress=self._note_progress,
         )
 
     def _note_progress(self) -> None:
-        # A long answer over a slow link is being heard as long as it comes.
-        self._answered_ms = self._clock.now_ms()
+        # A long answer over a slow link counts while its bytes arrive.
+        self._last_answer_ms = self._clock.now_ms()
 
-    def _note_held(self, *, held: bool) -> None:
-        if held is not self._held:
-            self._held = held
+    def _note_watch_duty(self, *, is_watching: bool) -> None:
+        if is_watching is not self._was_watching:
+            self._was_watching = is_watching
             log_event(
                 'store',
-                'Watched from here.' if held else 'Watched by peers.',
+                'Watched from here.' if is_watching else 'Watched by peers.',
                 kind=self._replica.kind,
                 revision=self._revision,
-                heard_ms=self._clock.now_ms() - self._answered_ms,
+                heard_ms=self._clock.now_ms() - self._last_answer_ms,
             )
 
     def _note_failed(self, failure: PlatformError) -> None:
         if failure.status == http.HTTPStatus.OK:
-            # What a watch told can't be read; a list leads past it.
+            # The answer of a watch can't be read; a list skips it.
             self._revision = None
             self._must_list = True
         if failure.status == http.HTTPStatus.GONE:
-            # It has answered: peers need not step in while it is listed.
+            # The store has answered: peers need not take over during the list.
             self._revision = None
             self._must_list = True
             self._note_progress()
@@ -227,8 +231,8 @@
                 kind=self._replica.kind,
                 revision=self._replica.revision,
             )
-        elif not self._lost:
-            self._lost = True
+        elif not self._is_lost:
+            self._is_lost = True
             log_event(
                 'store',
                 'The store was lost.',
@@ -238,8 +242,8 @@
             )
 
     def _note_regained(self) -> None:
-        if self._lost:
-            self._lost = False
+        if self._is_lost:
+            self._is_lost = False
             log_event(
                 'store',
                 'The store is back.',
@@ -249,10 +253,10 @@
 
 
 def retry_ms(backoff_ms: int, *, leads: bool) -> int:
-    """Tell when a lost store is asked again.
+    """Return the delay after which a lost store is asked again.
 
-    :param backoff_ms: delay that has doubled with each failure.
+    :param backoff_ms: delay that doubles with each failure.
     :param leads: whether this gateway is among the first to ask.
     :returns: milliseconds after the last failure.
     """
-    return min(backoff_ms, _MAX_RETRY_MS) if leads else backoff_ms
+    return min(backoff_ms, _MAX_LEADING_RETRY_MS) if leads else backoff_ms
--- a/wingfall/gateway/configuration/object_applier.py
+++ b/wingfall/gateway/configuration/object_applier.py
@@ -1,8 +1,7 @@
 """Puts the platform's objects in force as they arrive.
 
-The only place that replaces the configuration in force and changes the table of
-endpoints. Relies on the replicas to bring each object in the order of its
-revisions.
+Only this module replaces the configuration in force and changes the table of
+endpoints. The replicas pass each object in the order of its revisions.
 """
 
 from __future__ import annotations
@@ -23,14 +22,14 @@
 
 @final
 class ObjectApplier:
-    """Reads objects by the platform's binding; what is unreadable is told."""
+    """Parses objects by the platform's binding and reports invalid ones."""
 
     __slots__ = ('_state',)
 
     def __init__(self, *, state: GatewayState) -> None:
-        """Take objects for a gateway.
+        """Create an applier.
 
-        :param state: where they are put in force.
+        :param state: gateway state in which objects are put in force.
         """
         self._state = state
 
@@ -38,28 +37,29 @@
         """Put a configuration in force if its version is higher.
 
         :param name: name of the object.
-        :param spec: what it says, None once it is gone, which changes nothing.
+        :param spec: content of the object; None once the object is removed,
+            which changes nothing.
         """
         if spec is None:
             return
-        read = self._state.binding.read_routes(name, spec)
-        if not isinstance(read, Success):
-            self._note_refused(ROUTES_KIND, read.failure())
+        parsed = self._state.binding.read_routes(name, spec)
+        if not isinstance(parsed, Success):
+            self._note_refused(ROUTES_KIND, parsed.failure())
             log_event(
                 'config',
                 'Refused.',
                 name=name,
-                field=read.failure().field,
-                reason=read.failure().reason,
+                field=parsed.failure().field,
+                reason=parsed.failure().reason,
             )
             return
-        routes = read.unwrap()
+        routes = parsed.unwrap()
         in_force = self._state.routes
         if in_force is not None and routes.version <= in_force.version:
             return
         self._state.routes = routes
         self._state.knowledge.note_gaps(routes.shortest_gaps_ms)
-        # Entries may have come before the configuration that tells of memory.
+        # Entries may arrive before the configuration that sets cache sizes.
         for endpoint in self._state.knowledge.table.listed:
             self._set_cache_capacity(endpoint)
         self._state.metrics.config_version.set({}, routes.version)
@@ -72,22 +72,22 @@
         )
 
     def apply_endpoint(self, name: str, spec: Any) -> None:
-        """List an endpoint, or take it off the list.
+        """Add, update or remove an endpoint.
 
-        An entry that can't be read takes its endpoint out of use as a removal
-        does: nobody knows any more what listens there.
+        An entry that can't be parsed removes its endpoint from the table, since
+        the service at its address is no longer known.
 
-        :param name: its name.
-        :param spec: what its object says, None once it is gone.
+        :param name: name of the endpoint.
+        :param spec: content of the object, None once the object is removed.
         """
         if spec is None:
             self._state.knowledge.table.remove(name)
             return
-        read = self._state.binding.read_endpoint(name, spec)
-        if not isinstance(read, Success):
-            self._refuse_endpoint(name, read.failure())
+        parsed = self._state.binding.read_endpoint(name, spec)
+        if not isinstance(parsed, Success):
+            self._refuse_endpoint(name, parsed.failure())
             return
-        self._put_endpoint(read.unwrap())
+        self._put_endpoint(parsed.unwrap())
 
     def _put_endpoint(self, endpoint: PoolEndpoint) -> None:
         match self._state.knowledge.lives.note(endpoint):
--- a/wingfall/gateway/configuration/replica.py
+++ b/wingfall/gateway/configuration/replica.py
@@ -1,7 +1,7 @@
-"""This gateway's copy of the platform's objects, by the store or by peers.
+"""This gateway's replica of the platform's objects, from the store and peers.
 
-Each object only moves to a higher revision, whoever tells of it, so that a
-slow peer or a store that answers late can't bring an older state back.
+Each object only moves to a higher revision, whatever the source, so that a slow
+peer or a late answer of the store can't bring an older state back.
 """
 
 from __future__ import annotations
@@ -15,51 +15,52 @@
 
 ROUTES_KIND: Final = 'routes'
 ENDPOINTS_KIND: Final = 'endpoints'
-# Removed objects whose names are kept for peers that are behind. More than
-# leave a site in the seconds that a peer is behind.
-_MAX_GONE: Final = 1000
+# Removed objects that are retained for peers that are behind: more than leave
+# a site in the seconds that a peer is behind.
+_MAX_TOMBSTONES: Final = 1000
 
 Listener = Callable[[str, Any], None]
 
 
 @final
 class _Entry:
-    """An object and when this replica learned of its state."""
+    """An object and the revision that brought it to this replica."""
 
-    __slots__ = ('learned_at', 'stored')
+    __slots__ = ('source_revision', 'stored')
 
-    def __init__(self, *, stored: StoredObject, learned_at: int) -> None:
-        """Keep an object.
+    def __init__(self, *, stored: StoredObject, source_revision: int) -> None:
+        """Create an entry.
 
         :param stored: the object.
-        :param learned_at: revision that brought it, at least its own.
+        :param source_revision: revision of the list or change that brought the
+            object, at least its own.
         """
         self.stored = stored
-        self.learned_at = learned_at
+        self.source_revision = source_revision
 
 
 @final
 class ObjectReplica:
-    """All objects of one kind and the last ones that are gone.
+    """All objects of one kind and the last removed ones.
 
-    The revision of the replica is one up to which it is complete.
+    The replica is complete up to its revision.
     """
 
-    __slots__ = ('_entries', '_gone', '_listener', 'kind', 'revision')
+    __slots__ = ('_entries', '_tombstones', '_listener', 'kind', 'revision')
 
     def __init__(self, *, kind: str, listener: Listener) -> None:
-        """Start empty.
+        """Create an empty replica.
 
-        :param kind: the product's word for the kind.
-        :param listener: called with the name and what an object says after
-            each change of that, None once it is gone.
+        :param kind: name of the kind in this product.
+        :param listener: called with the name and the content of an object after
+            each change of the content, which is None once it is removed.
         """
         self.kind = kind
         self.revision = 0
         self._listener = listener
         self._entries: dict[str, _Entry] = {}
-        # Names of the objects that are gone, the oldest first.
-        self._gone: dict[str, None] = {}
+        # Names of the removed objects, the oldest first.
+        self._tombstones: dict[str, None] = {}
 
     def apply_list(self, reading: StoreReading) -> None:
         """Apply a complete list.
@@ -71,18 +72,18 @@
         for name, entry in list(self._entries.items()):
             known = entry.stored
             if name not in listed and known.revision <= reading.revision:
-                gone = StoredObject(
+                removed = StoredObject(
                     name=name,
                     revision=known.revision,
                     spec=None,
                 )
-                self._apply(gone, reading.revision)
+                self._apply(removed, reading.revision)
 
     def apply_changes(self, reading: StoreReading) -> int:
         """Apply changes in their order.
 
         :param reading: the changes and the revision that they lead to.
-        :returns: how many of them were new.
+        :returns: number of changes that were new.
         """
         if reading.objects:
             self.revision = max(self.revision, reading.revision)
@@ -91,61 +92,62 @@
         )
 
     def catch_up(self, reading: StoreReading) -> int:
-        """Apply what a peer gave that is complete up to a revision.
+        """Apply changes of a peer that are complete up to its revision.
 
-        :param reading: what changed and the peer's revision.
-        :returns: how many changes were new.
+        :param reading: the changes and the peer's revision.
+        :returns: number of changes that were new.
         """
         self.revision = max(self.revision, reading.revision)
         return self.apply_changes(reading)
 
     def since(self, revision: int) -> list[StoredObject]:
-        """List what changed after a revision, for a peer.
+        """Return the objects that changed after a revision, for a peer.
 
-        :param revision: up to where the peer is complete.
+        :param revision: revision up to which the peer is complete.
         :returns: the objects, oldest first.
         """
         changed = [
             entry.stored
             for entry in self._entries.values()
-            if _told_at(entry) > revision
+            if _send_revision(entry) > revision
         ]
         changed.sort(key=lambda each: each.revision)
         return changed
 
-    def _apply(self, changed: StoredObject, learned_at: int) -> bool:
+    def _apply(self, changed: StoredObject, source_revision: int) -> bool:
         known = self._entries.get(changed.name)
         if known is not None and not _is_newer(changed, known.stored):
             return False
         self._entries[changed.name] = _Entry(
             stored=changed,
-            learned_at=learned_at,
+            source_revision=source_revision,
         )
-        self._gone.pop(changed.name, None)
+        self._tombstones.pop(changed.name, None)
         if changed.spec is None:
-            self._gone[changed.name] = None
-            self._trim_gone()
+            self._tombstones[changed.name] = None
+            self._trim_tombstones()
         if known is None or known.stored.spec != changed.spec:
             self._listener(changed.name, changed.spec)
         return True
 
-    def _trim_gone(self) -> None:
-        while len(self._gone) > _MAX_GONE:
-            oldest = next(iter(self._gone))
-            self._gone.pop(oldest)
+    def _trim_tombstones(self) -> None:
+        while len(self._tombstones) > _MAX_TOMBSTONES:
+            oldest = next(iter(self._tombstones))
+            self._tombstones.pop(oldest)
             self._entries.pop(oldest)
 
 
-def _told_at(entry: _Entry) -> int:
-    # An object has the same revision everywhere; by the one that a list or a
-    # peer happened to have, peers that hold it would be sent it again. What is
-    # gone bears the revision of its last change and would not be told at all.
-    gone = entry.stored.spec is None
-    return entry.learned_at if gone else entry.stored.revision
+def _send_revision(entry: _Entry) -> int:
+    # An object has the same revision at all gateways; with the revision of the
+    # list or peer that brought it, peers that have it would be sent it again. A
+    # removed object has the revision of its last change, with which the removal
+    # would not be sent at all.
+    removed = entry.stored.spec is None
+    return entry.source_revision if removed else entry.stored.revision
 
 
 def _is_newer(changed: StoredObject, known: StoredObject) -> bool:
-    # What is gone may bear the revision of its last change.
+    # A removed object may have the revision of its last change.
     if changed.revision == known.revision:
         return changed.spec is None and known.spec is not None
     return changed.revision > known.revision
