--- a/wingfall/gateway/__main__.py
+++ b/wingfall/gateway/__main__.py
@@ -1,8 +1,8 @@
 """The gateway's own entry point, which starts faster than the command line.
 
 ``python3 -m wingfall.gateway --settings FILE`` does what ``wingfall gateway``
-does. It listens for callers first, patches only the parts of the standard
-library that are used, and leaves the library of the command line out: 0.4 s
+does. It listens for callers first, patches only the used parts of the standard
+library, and doesn't import the library of the command line, which saves 0.4 s
 of a restart.
 """
 
@@ -20,10 +20,10 @@
 
     :returns: the exit code.
     """
-    # A reload that comes before there is anything to reload.
+    # Ignores a reload signal that arrives before there is anything to reload.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     listener = listen_early(sys.argv)
-    _patch()
+    _patch_standard_library()
     import argparse  # noqa: PLC0415, WPS433
 
     from wingfall.cmd.gateway import run_gateway  # noqa: PLC0415, WPS433
@@ -35,11 +35,11 @@
     return run_gateway(parser.parse_args().settings, listener)
 
 
-def _patch() -> None:
+def _patch_standard_library() -> None:
     import gevent  # noqa: PLC0415, WPS433
     from gevent import monkey  # noqa: PLC0415, WPS433
 
-    # libuv may use io_uring, which the platform bars; libev on epoll doesn't.
+    # libuv may use io_uring, which the platform blocks; libev uses epoll.
     gevent.config.loop = 'libev-cext'
     gevent.config.libev_backend = 'epoll'
     monkey.patch_time()
--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -1,7 +1,7 @@
 """The gateway: its supervisor tree and its planned stop.
 
-Owns the ports and all long-lived greenlets; makes everything else and hands
-each part what it needs.
+Owns the ports and all long-lived greenlets; creates all other parts and passes
+each its dependencies.
 """
 
 from __future__ import annotations
@@ -43,21 +43,21 @@
     from wingfall.gateway.model.object_store import ObjectStore
 
 # Milliseconds by which a watch may be late before its gateway counts as cut off
-# from the store: what the client of the store allows an answer.
-_WATCH_SLACK_MS: Final = 1000
-# Milliseconds for which callers wait unread after a start, so that the
-# configuration has come from a peer or the store, and a caller of a site
-# without one is soon told so.
-_FIRST_CONFIG_MS: Final = 500
-# Milliseconds between two looks for endpoints that are gone.
-_FORGET_MS: Final = 1000
-# Milliseconds between two looks at what is waited for.
-_POLL_MS: Final = 20
+# from the store: the time that the store's client allows for an answer.
+_WATCH_TOLERANCE_MS: Final = 1000
+# Maximum milliseconds for which connections wait unread after a start: enough
+# for the configuration to arrive from a peer or the store, while a caller of a
+# site without a configuration soon gets an error.
+_MAX_CONFIG_WAIT_MS: Final = 500
+# Interval at which the state of removed endpoints is deleted.
+_CLEANUP_INTERVAL_MS: Final = 1000
+# Interval of the checks for a condition that is waited for.
+_POLL_INTERVAL_MS: Final = 20
 
 
 @final
 class GatewayApplication(Program):
-    """Serves callers from endpoints that have no agent."""
+    """Gateway that routes callers to endpoints without an agent."""
 
     __slots__ = (
         '_callers',
@@ -76,10 +76,11 @@
         settings: SimpleNamespace,
         listener: socket.socket | None = None,
     ) -> None:
-        """Make the gateway and bind its ports.
+        """Create the gateway and bind its ports.
 
         :param settings: the checked settings.
-        :param listener: listens for callers already, None to bind it here.
+        :param listener: socket that already listens for callers, None to bind
+            one here.
         """
         super().__init__(settings=settings, secret=b'')
         self._state = make_state(settings, self._clock, self._metrics)
@@ -117,7 +118,7 @@
             replicas=self._replicas,
             transfer=self._transfer,
             supervisor=self._supervisor,
-            watches=self._watches,
+            watches=self._is_watching_store,
             duties=self._duties
             and DutyExchange(
                 clock=self._clock,
@@ -144,7 +145,7 @@
 
     @property
     def ready_port(self) -> int:
-        """Port of the balancer's question."""
+        """Port of the load balancer's readiness check."""
         return self._ready_server.port
 
     @property
@@ -153,10 +154,10 @@
         return self._peers.address
 
     def reload(self, settings: SimpleNamespace) -> None:
-        """Take changed settings, as far as they can change while running.
+        """Apply changed settings, as far as they can change while running.
 
         Seeds, the retry budget and the time of a planned stop take effect;
-        addresses and policies stay till the next start.
+        addresses and policies change only at the next start.
 
         :param settings: the checked settings.
         """
@@ -175,7 +176,7 @@
         for follower in self._followers:
             body = functools.partial(follower.follow, self._stop)
             self._supervisor.start(follower.kind, body)
-        self._supervisor.start('forget_departed', self._forget_departed)
+        self._supervisor.start('forget_departed', self._remove_departed)
         self._peers.start()
         if self._duties is not None:
             body = functools.partial(self._duties.run, self._stop)
@@ -195,7 +196,7 @@
         self._supervisor.spawn(survey.run)
 
     def drain(self) -> None:
-        """Take no new work, and wait until what there is has ended."""
+        """Refuse new calls and wait until the calls in progress have ended."""
         log_event('gateway', 'Stopping.', calls=self._callers.calls)
         self._state.draining = True
         self._peers.leave()
@@ -205,21 +206,21 @@
         self._callers.stop_accepting()
         while not self._callers.is_empty and self._clock.now_ms() < deadline_ms:
             self._callers.close_idle()
-            gevent.sleep(_POLL_MS / MS_PER_S)
+            gevent.sleep(_POLL_INTERVAL_MS / MS_PER_S)
         self._peers.tell_last_counts()
         log_event('gateway', 'Stopped.', calls=self._callers.calls)
 
     def close(self) -> None:
-        """End everything now."""
+        """Stop all parts at once."""
         self._callers.stop()
         self._ready_server.stop()
         self._peers.stop()
         super().close()
 
     def not_ready(self) -> str:
-        """Tell why the gateway isn't ready.
+        """Return the reason why the gateway isn't ready.
 
-        :returns: the reason, empty if it is ready.
+        :returns: the reason, empty if the gateway is ready.
         """
         if self._state.draining:
             return 'stopping'
@@ -230,7 +231,7 @@
         return ''
 
     def status(self) -> dict[str, Any]:
-        """Show the state of the gateway.
+        """Return the state of the gateway.
 
         :returns: the state as JSON.
         """
@@ -270,19 +271,19 @@
         )
 
     def _start_accepting(self) -> None:
-        # Connections wait unread for the configuration, but not for long.
-        until_ms = self._clock.now_ms() + _FIRST_CONFIG_MS
-        while self.not_ready() and self._clock.now_ms() < until_ms:
-            gevent.sleep(_POLL_MS / MS_PER_S)
+        # Connections wait unread for the configuration for a limited time.
+        deadline_ms = self._clock.now_ms() + _MAX_CONFIG_WAIT_MS
+        while self.not_ready() and self._clock.now_ms() < deadline_ms:
+            gevent.sleep(_POLL_INTERVAL_MS / MS_PER_S)
         self._callers.start()
 
-    def _watches(self) -> bool:
-        within_ms = self._settings.store.watch_ms + _WATCH_SLACK_MS
+    def _is_watching_store(self) -> bool:
+        within_ms = self._settings.store.watch_ms + _WATCH_TOLERANCE_MS
         return all(each.has_answered(within_ms) for each in self._followers)
 
-    def _forget_departed(self) -> None:
+    def _remove_departed(self) -> None:
         while not self._supervisor.stopped:
-            gevent.sleep(_FORGET_MS / MS_PER_S)
+            gevent.sleep(_CLEANUP_INTERVAL_MS / MS_PER_S)
             self._state.knowledge.forget_departed()
             set_start_errors(self._metrics, self._state.knowledge.starts)
             names = self._state.knowledge.table.names
--- a/wingfall/gateway/assembly.py
+++ b/wingfall/gateway/assembly.py
@@ -1,4 +1,4 @@
-"""Makes the shared state of a gateway from its settings."""
+"""Creates the shared state of a gateway from its settings."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
     from wingfall.clock import Clock
     from wingfall.metrics import Metrics
 
-# A binding is known once its module is imported.
+# A binding is registered when its module is imported.
 PLATFORMS: Final = (fjordgrid,)
 
 
 def check_policy(settings: SimpleNamespace) -> Result[Any, str]:
-    """Check the names that the settings choose by.
+    """Check the names of the binding and the policies in the settings.
 
-    :param settings: settings that met their schema.
-    :returns: what was found, or a sentence with the names there are.
+    :param settings: settings that conform to their schema.
+    :returns: the policies, or an error text that lists the valid names.
     """
     return bindings.find(settings.binding).bind(
         lambda _found: find_policies(settings.policy),
@@ -46,11 +46,11 @@
     clock: Clock,
     metrics: Metrics,
 ) -> GatewayState:
-    """Make the state; there is no configuration yet.
+    """Create the state of a gateway, which has no configuration yet.
 
     :param settings: the checked settings.
-    :param clock: the time.
-    :param metrics: counters.
+    :param clock: source of the current time.
+    :param metrics: metrics of the process.
     :returns: the state.
     """
     make_binding = bindings.find(settings.binding).unwrap()
--- a/wingfall/gateway/state.py
+++ b/wingfall/gateway/state.py
@@ -1,6 +1,6 @@
-"""What all calls of a gateway share.
+"""State that all calls of a gateway share.
 
-Each field has one owner that changes it; calls ask.
+Each field has one owner that changes it; calls use its methods.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @final
 class GatewayState:
-    """The owners of what calls need, and the configuration in force."""
+    """The parts that serve all calls, and the configuration in force."""
 
     __slots__ = (
         'binding',
@@ -65,19 +65,19 @@
         crash_watch: CrashWatch,
         gate: SendingGate,
     ) -> None:
-        """Join the parts; there is no configuration yet.
+        """Create the state, which has no configuration yet.
 
         :param zone: availability zone of this gateway.
-        :param clock: the time.
-        :param metrics: counters.
+        :param clock: source of the current time.
+        :param metrics: metrics of the process.
         :param binding: translates the platform's headers and objects.
-        :param policies: the rules that settings have chosen.
-        :param budget: bounds the retries of all gateways.
-        :param knowledge: what is known of endpoints.
+        :param policies: the rules that the settings select.
+        :param budget: limits the retries of all gateways.
+        :param knowledge: state of the endpoints.
         :param connections: idle connections to endpoints.
-        :param blocks: bounds requests that end their endpoints.
-        :param crash_watch: notices endpoints that crash.
-        :param gate: asks what endpoints have said before a request is sent.
+        :param blocks: limits requests that crash their endpoints.
+        :param crash_watch: detects endpoints that crash.
+        :param gate: checks the reports of endpoints before a request is sent.
         """
         self.zone = zone
         self.clock = clock
@@ -90,11 +90,11 @@
         self.blocks = blocks
         self.crash_watch = crash_watch
         self.gate = gate
-        # What callers were told when no endpoint of their pool took a request.
+        # Retry times of calls that no endpoint of their pool could take.
         self.held_calls = HeldCalls()
-        # How far customers are above their shares of pools.
+        # Excess of customers over their shares of pools.
         self.fair_shares = FairShares(clock=clock, knowledge=knowledge)
-        # Engines that are kept for streams with short gaps.
+        # Engines reserved for streams with short token gaps.
         self.kept_engines = KeptEngines(
             clock=clock,
             knowledge=knowledge,
@@ -105,6 +105,6 @@
         self.routes: Routes | None = None
         # Whether a planned stop has begun; only the application sets it.
         self.draining = False
-        # Counts requests for the duty to report them, None without that duty;
+        # Request counts for the duty that reports them, None without that duty;
         # only the application sets it.
         self.usage: UsageCounts | None = None
--- a/wingfall/gateway/status.py
+++ b/wingfall/gateway/status.py
@@ -1,4 +1,4 @@
-"""What a gateway shows of its state, as JSON for ``wingfall status``."""
+"""The state of a gateway as JSON for ``wingfall status``."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
     calls: int,
     duties: dict[str, Any] | None,
 ) -> dict[str, Any]:
-    """Show the state.
+    """Return the state of a gateway.
 
     :param name: name of the gateway.
-    :param state: what it knows.
+    :param state: state that its calls share.
     :param peers: names of the connected peers.
-    :param calls: how many calls it serves now.
-    :param duties: what it shows of the duties, None without duties.
-    :returns: the state.
+    :param calls: number of calls in progress.
+    :param duties: state of the duties, None without duties.
+    :returns: the state as JSON.
     """
     routes, signals = state.routes, state.knowledge.signals
     return {
@@ -40,15 +40,15 @@
         'limited_endpoints': state.gate.status(),
         'leaving_endpoints': sorted(signals.leaving),
         'resting_endpoints': signals.rests.names,
-        'engine_rates': _show_rates(state),
+        'engine_rates': _list_prefill_rates(state),
         'start_errors': list_start_errors(state.knowledge.starts),
         'engine_groups': state.kept_engines.status(),
         'duties': duties,
     }
 
 
-def _show_rates(state: GatewayState) -> dict[str, float]:
-    # Tokens a millisecond, for the endpoints of pools that read prompts.
+def _list_prefill_rates(state: GatewayState) -> dict[str, float]:
+    # Prefill rates in tokens per millisecond, for pools that prefill prompts.
     pools = state.routes.pools if state.routes else {}
     look = state.knowledge.speeds.rates.look
     return {
