--- a/tests/test_gateway_config.py
+++ b/tests/test_gateway_config.py
@@ -1,4 +1,4 @@
-"""Configuration and endpoints at a gateway: by the store and by peers."""
+"""Configuration and endpoints of a gateway, from the store and from peers."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 from wingfall.cmd.gateway import run_gateway
 from wingfall.wire.connection import Connection
 
-# Gateways that watch the store, of those that hear each other.
-WATCHERS = 3
+# Number of connected gateways that watch the store.
+WATCHER_COUNT = 3
 
 
-def script(site: GatewaySite, **fields: int) -> None:
-    """Tell the store how to behave."""
+def set_store_script(site: GatewaySite, **fields: int) -> None:
+    """Set the behaviour of the store."""
     site.store.script = dict(fields)
 
 
-def watchers(site: GatewaySite) -> int:
-    """Count the gateways that watch the store."""
+def count_watchers(site: GatewaySite) -> int:
+    """Return the number of gateways that watch the store."""
     return sum(holds_watch(each) for each in site.gateways)
 
 
@@ -69,12 +69,12 @@
 
 
 def test_not_ready_before_a_configuration(gateway_site: GatewaySite):
-    script(gateway_site, status=503)
+    set_store_script(gateway_site, status=503)
     gateway = gateway_site.start_gateway()
     assert gateway.not_ready() == 'no configuration'
     assert gateway_site.ask('/safe/x').status == 503
     gateway_site.add_server('one')
-    script(gateway_site)
+    set_store_script(gateway_site)
     wait_until(lambda: not gateway.not_ready())
     assert gateway_site.ask('/safe/x').status == 200
 
@@ -89,8 +89,8 @@
 def test_forgotten_history_leads_to_a_new_list(gateway_site: GatewaySite):
     gateway_site.add_server('one')
     gateway = gateway_site.add_gateway()
-    script(gateway_site, status=429)
-    # The watches that wait have ended once others are turned away.
+    set_store_script(gateway_site, status=429)
+    # Waiting watches have ended once the store refuses other calls.
     calls = gateway_site.store.calls
     wait_until(lambda: gateway_site.store.calls > calls + 4)
     gateway_site.store.objects['servers'].pop('one')
@@ -98,12 +98,12 @@
     gateway_site.store.oldest = gateway_site.store.revision + 1
     gateway_site.store.revision += 5
     gevent.sleep(0.1)
-    script(gateway_site)
+    set_store_script(gateway_site)
     wait_until(lambda: gateway.status()['endpoints'] == ['two'])
 
 
 def test_long_lists_come_in_pages(gateway_site: GatewaySite):
-    script(gateway_site, page=2)
+    set_store_script(gateway_site, page=2)
     for number in range(5):
         gateway_site.add_server(f'server-{number}')
     gateway = gateway_site.add_gateway()
@@ -115,7 +115,7 @@
 ):
     gateway_site.add_server('one')
     gateway_site.add_gateway()
-    script(gateway_site, status=503)
+    set_store_script(gateway_site, status=503)
     second = gateway_site.add_gateway()
     assert second.status()['config'] == gateway_site.config['version']
     caller = gateway_site.caller(1)
@@ -126,7 +126,7 @@
 def test_peers_give_what_the_store_does_not(gateway_site: GatewaySite):
     gateway_site.add_server('one')
     first = gateway_site.add_gateway()
-    # The second one's own way to the store leads nowhere.
+    # The second gateway has a store address that refuses connections.
     second = gateway_site.add_gateway(
         store={'address': f'{HOST}:1', 'watch_ms': 500},
     )
@@ -157,7 +157,7 @@
             len(each.status()['peers']) == 6 for each in gateway_site.gateways
         ),
     )
-    wait_until(lambda: watchers(gateway_site) == WATCHERS)
+    wait_until(lambda: count_watchers(gateway_site) == WATCHER_COUNT)
     gateway_site.write_config()
     version = gateway_site.config['version']
     wait_until(
@@ -171,11 +171,11 @@
     gateway_site.add_server('one')
     for _gateway in range(6):
         gateway_site.add_gateway()
-    wait_until(lambda: watchers(gateway_site) == WATCHERS)
+    wait_until(lambda: count_watchers(gateway_site) == WATCHER_COUNT)
     stopped = next(each for each in gateway_site.gateways if holds_watch(each))
     gateway_site.gateways.remove(stopped)
     stopped.close()
-    wait_until(lambda: watchers(gateway_site) == WATCHERS)
+    wait_until(lambda: count_watchers(gateway_site) == WATCHER_COUNT)
 
 
 def test_lapsed_entries_still_serve_for_a_moment(gateway_site: GatewaySite):
@@ -207,9 +207,9 @@
         'utf-8',
     )
     assert run_gateway(str(settings), None) == 2
-    told = capsys.readouterr().err
-    assert 'policy' in told
-    assert 'least_read' in told
+    stderr = capsys.readouterr().err
+    assert 'policy' in stderr
+    assert 'least_read' in stderr
 
 
 def test_reload_takes_what_can_change(gateway_site: GatewaySite):
@@ -248,9 +248,9 @@
     settings = tmp_path / 'settings.yaml'
     settings.write_text('name: a\nzones: z\nstore: {watch_ms: x}\n', 'utf-8')
     assert run_gateway(str(settings), None) == 2
-    told = capsys.readouterr().err
-    assert 'settings.yaml:2: zones: unknown field' in told
-    assert 'settings.yaml:3: store.watch_ms:' in told
+    stderr = capsys.readouterr().err
+    assert 'settings.yaml:2: zones: unknown field' in stderr
+    assert 'settings.yaml:3: store.watch_ms:' in stderr
 
 
 def test_metrics_count_attempts_and_refusals(gateway_site: GatewaySite):
--- a/tests/test_gateway_follower.py
+++ b/tests/test_gateway_follower.py
@@ -1,4 +1,4 @@
-"""How often a gateway calls the store, and what it need not ask."""
+"""Frequency and kind of the calls of a gateway to the store."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
-GONE = 410
-DOWN = 503
+HTTP_GONE = 410
+HTTP_UNAVAILABLE = 503
 
 
 @final
 class _Store:
-    """Answers what a test tells, and keeps the calls."""
+    """Store that answers as a test sets it, and records the calls."""
 
     def __init__(self) -> None:
         self.calls: list[str] = []
@@ -57,7 +57,7 @@
         self.brief.append(brief)
         self.progress = progress
         answer = self._answer(f'watch {revision}')
-        if self.status == GONE:
+        if self.status == HTTP_GONE:
             self.status = 0
         return answer
 
@@ -66,17 +66,17 @@
         gevent.sleep(0.02)
         if self.status:
             return Failure(PlatformError(status=self.status, message=''))
-        return Success(reading(7))
+        return Success(make_reading(7))
 
 
-def reading(revision: int) -> StoreReading:
-    """Make what the store says at a revision."""
+def make_reading(revision: int) -> StoreReading:
+    """Return the answer of the store at a revision."""
     main = StoredObject(name='main', revision=revision, spec={})
     return StoreReading(revision=revision, objects=[main])
 
 
 @final
-class _Followed:
+class _FollowerSite:
     """A follower with its store and its replica."""
 
     def __init__(self) -> None:
@@ -97,49 +97,49 @@
         self._stop = Event()
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start the follower."""
         self.running = gevent.spawn(self.follower.follow, self._stop)
 
     def stop(self) -> None:
-        """End."""
+        """Stop the follower."""
         self.running.kill()
 
 
 @pytest.fixture
-def followed() -> Iterator[_Followed]:
-    """Give a follower that a test starts."""
-    followed = _Followed()
-    yield followed
-    followed.stop()
+def site() -> Iterator[_FollowerSite]:
+    """Return a follower that the test starts."""
+    site = _FollowerSite()
+    yield site
+    site.stop()
 
 
-def test_list_comes_first(followed: _Followed):
-    followed.start()
-    wait_until(lambda: len(followed.store.calls) >= 2)
-    assert followed.store.calls[:2] == ['list', 'watch 7']
+def test_list_comes_first(site: _FollowerSite):
+    site.start()
+    wait_until(lambda: len(site.store.calls) >= 2)
+    assert site.store.calls[:2] == ['list', 'watch 7']
 
 
-def test_what_a_peer_gave_need_not_be_listed(followed: _Followed):
-    followed.replica.catch_up(reading(5))
-    followed.start()
-    wait_until(lambda: followed.store.calls)
-    assert followed.store.calls[0] == 'watch 5'
+def test_what_a_peer_gave_need_not_be_listed(site: _FollowerSite):
+    site.replica.catch_up(make_reading(5))
+    site.start()
+    wait_until(lambda: site.store.calls)
+    assert site.store.calls[0] == 'watch 5'
 
 
-def test_gateway_that_need_not_watch_makes_no_call(followed: _Followed):
-    followed.holds_watch = False
-    followed.replica.catch_up(reading(5))
-    followed.start()
+def test_gateway_that_need_not_watch_makes_no_call(site: _FollowerSite):
+    site.holds_watch = False
+    site.replica.catch_up(make_reading(5))
+    site.start()
     gevent.sleep(0.3)
-    assert not followed.store.calls
+    assert not site.store.calls
 
 
-def test_forgotten_history_is_listed_though_a_peer_gave(followed: _Followed):
-    followed.replica.catch_up(reading(5))
-    followed.store.status = GONE
-    followed.start()
-    wait_until(lambda: 'list' in followed.store.calls)
-    assert followed.store.calls[:2] == ['watch 5', 'list']
+def test_forgotten_history_is_listed_though_a_peer_gave(site: _FollowerSite):
+    site.replica.catch_up(make_reading(5))
+    site.store.status = HTTP_GONE
+    site.start()
+    wait_until(lambda: 'list' in site.store.calls)
+    assert site.store.calls[:2] == ['watch 5', 'list']
 
 
 def test_lost_store_is_asked_often_by_those_that_lead_only():
@@ -149,70 +149,70 @@
     assert retry_ms(4000, leads=False) == 4000
 
 
-def test_store_that_was_lost_is_found_again(followed: _Followed):
-    followed.store.status = DOWN
-    followed.start()
-    wait_until(lambda: len(followed.store.calls) > 2)
-    assert not followed.follower.has_answered(within_ms=60_000)
-    followed.store.status = 0
-    wait_until(lambda: followed.replica.revision)
+def test_store_that_was_lost_is_found_again(site: _FollowerSite):
+    site.store.status = HTTP_UNAVAILABLE
+    site.start()
+    wait_until(lambda: len(site.store.calls) > 2)
+    assert not site.follower.has_answered(within_ms=60_000)
+    site.store.status = 0
+    wait_until(lambda: site.replica.revision)
 
 
-def test_changes_in_quick_succession_are_read_together(followed: _Followed):
-    followed.start()
-    wait_until(lambda: len(followed.store.calls) >= 3)
-    # The stand-in has a change at each watch: without a rest, hundreds.
-    before, started_s = len(followed.store.calls), time.monotonic()
+def test_changes_in_quick_succession_are_read_together(site: _FollowerSite):
+    site.start()
+    wait_until(lambda: len(site.store.calls) >= 3)
+    # The stand-in has a change at each watch: without a pause, hundreds.
+    before, started_s = len(site.store.calls), time.monotonic()
     gevent.sleep(0.5)
-    rests = (time.monotonic() - started_s) * MS_PER_S / REST_MS
-    assert len(followed.store.calls) - before <= rests + 2
+    pauses = (time.monotonic() - started_s) * MS_PER_S / REST_MS
+    assert len(site.store.calls) - before <= pauses + 2
 
 
 def test_lost_store_is_asked_without_a_wait_until_it_is_back(
-    followed: _Followed,
+    site: _FollowerSite,
 ):
-    followed.replica.catch_up(reading(5))
-    followed.store.status = DOWN
-    followed.start()
-    wait_until(lambda: len(followed.store.brief) >= 3)
-    assert followed.store.brief[:3] == [False, True, True]
-    followed.store.status = 0
-    wait_until(lambda: not followed.store.brief[-1])
+    site.replica.catch_up(make_reading(5))
+    site.store.status = HTTP_UNAVAILABLE
+    site.start()
+    wait_until(lambda: len(site.store.brief) >= 3)
+    assert site.store.brief[:3] == [False, True, True]
+    site.store.status = 0
+    wait_until(lambda: not site.store.brief[-1])
 
 
 def test_gateway_that_steps_in_hears_the_store_without_a_wait(
-    followed: _Followed,
+    site: _FollowerSite,
 ):
-    followed.replica.catch_up(reading(5))
-    followed.holds_watch = False
-    followed.start()
+    site.replica.catch_up(make_reading(5))
+    site.holds_watch = False
+    site.start()
     gevent.sleep(0.05)
-    followed.holds_watch = True
-    wait_until(lambda: len(followed.store.brief) >= 2)
-    assert followed.store.brief[:2] == [True, False]
+    site.holds_watch = True
+    wait_until(lambda: len(site.store.brief) >= 2)
+    assert site.store.brief[:2] == [True, False]
 
 
-def test_store_is_heard_as_long_as_a_long_answer_comes(followed: _Followed):
-    followed.start()
-    wait_until(lambda: followed.store.brief)
+def test_store_is_heard_as_long_as_a_long_answer_comes(site: _FollowerSite):
+    site.start()
+    wait_until(lambda: site.store.brief)
     gevent.sleep(0.1)
     within_ms = 50
-    assert not followed.follower.has_answered(within_ms)
-    followed.store.progress()
-    assert followed.follower.has_answered(within_ms)
+    assert not site.follower.has_answered(within_ms)
+    site.store.progress()
+    assert site.follower.has_answered(within_ms)
 
 
-def test_store_that_forgot_its_history_is_not_lost(followed: _Followed):
-    heard: list[bool] = []
-    list_all = followed.store.list_all
+def test_store_that_forgot_its_history_is_not_lost(site: _FollowerSite):
+    answered: list[bool] = []
+    list_all = site.store.list_all
 
-    def note_and_list(**named: Callable[[], None]) -> object:
-        heard.append(followed.follower.has_answered(within_ms=1000))
+    def record_and_list(**named: Callable[[], None]) -> object:
+        answered.append(site.follower.has_answered(within_ms=1000))
         return list_all(**named)
 
-    followed.store.list_all = note_and_list
-    followed.replica.catch_up(reading(5))
-    followed.store.status = GONE
-    followed.start()
-    wait_until(lambda: heard)
-    assert heard == [True]
+    site.store.list_all = record_and_list
+    site.replica.catch_up(make_reading(5))
+    site.store.status = HTTP_GONE
+    site.start()
+    wait_until(lambda: answered)
+    assert answered == [True]
--- a/tests/test_stored_objects.py
+++ b/tests/test_stored_objects.py
@@ -1,4 +1,4 @@
-"""Whatever the store, a peer or another writer gives: sound objects hold."""
+"""Valid objects apply, whatever else the store, a peer or a writer sends."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     'slots': 8,
     'state': 'ready',
 }
-ROUTES = {
+VALID_ROUTES = {
     'version': 3,
     'routes': [
         {
@@ -59,9 +59,9 @@
     'services': [{'name': 'plain'}],
 }
 
-# Bytes that would end or escape a text of JSON.
-UNQUOTED = bytes((*range(32), ord('"'), ord('\\')))
-ANY = st.recursive(
+# Bytes that would end or escape a JSON string.
+JSON_SPECIAL_BYTES = bytes((*range(32), ord('"'), ord('\\')))
+ANY_VALUE = st.recursive(
     st.none()
     | st.booleans()
     | st.integers(-(2**63), 2**64 - 1)
@@ -75,31 +75,33 @@
 )
 
 
-def spoilt(sound: dict[str, Any]) -> st.SearchStrategy[Any]:
-    """Give what is sound but for some fields, or anything at all."""
-    fields = st.dictionaries(st.sampled_from(sorted(sound)), ANY, min_size=1)
-    return ANY | fields.map(lambda changes: {**sound, **changes})
+def altered(valid: dict[str, Any]) -> st.SearchStrategy[Any]:
+    """Return a strategy for an object with changed fields, or any value."""
+    fields = st.dictionaries(
+        st.sampled_from(sorted(valid)), ANY_VALUE, min_size=1
+    )
+    return ANY_VALUE | fields.map(lambda changes: {**valid, **changes})
 
 
-ENTRIES = st.lists(
-    spoilt({'metadata': {'name': 'x', 'revision': 4}, 'spec': SOUND})
-    | spoilt({'name': 'x', 'revision': 4}).map(
+MIXED_ENTRIES = st.lists(
+    altered({'metadata': {'name': 'x', 'revision': 4}, 'spec': SOUND})
+    | altered({'name': 'x', 'revision': 4}).map(
         lambda metadata: {'metadata': metadata, 'spec': SOUND}
     )
-    | spoilt(SOUND).map(
+    | altered(SOUND).map(
         lambda spec: {'metadata': {'name': 'x', 'revision': 4}, 'spec': spec}
     ),
     max_size=4,
 )
 
 
-def wrapped(name: str) -> dict[str, Any]:
-    """Write a sound object as the store does."""
+def stored_endpoint(name: str) -> dict[str, Any]:
+    """Return a valid object in the form of the store."""
     return {'metadata': {'name': name, 'revision': 5}, 'spec': SOUND}
 
 
 def make_state() -> SimpleNamespace:
-    """Make what the applier changes."""
+    """Return the gateway state that the applier changes."""
     metrics = Metrics()
     return SimpleNamespace(
         binding=FjordgridBinding(settings=SimpleNamespace(), metrics=metrics),
@@ -109,53 +111,56 @@
     )
 
 
-def usable(reading: StoreReading) -> list[str]:
-    """Put objects in force as endpoints, and name those that are used."""
+def usable_endpoints(reading: StoreReading) -> list[str]:
+    """Put objects in force as endpoints and return the usable names."""
     state = make_state()
     applier = ObjectApplier(state=state)
     replica = ObjectReplica(
         kind=ENDPOINTS_KIND, listener=applier.apply_endpoint
     )
     replica.apply_list(reading)
-    # What a peer would be given is the same.
-    given_on = unpack_objects(pack_objects(replica.since(0)))
-    assert [each.name for each in given_on] == [
+    # A peer would be sent the same objects.
+    received = unpack_objects(pack_objects(replica.since(0)))
+    assert [each.name for each in received] == [
         each.name for each in replica.since(0)
     ]
     return [each.name for each in state.knowledge.table.usable('plain')]
 
 
-@given(before=ENTRIES, after=ENTRIES)
+@given(before=MIXED_ENTRIES, after=MIXED_ENTRIES)
 def test_list_keeps_the_sound_entries(before: list[Any], after: list[Any]):
-    listed = [*before, wrapped('one'), *after, wrapped('two')]
+    listed = [*before, stored_endpoint('one'), *after, stored_endpoint('two')]
     body = parse_answer(orjson.dumps({'items': listed, 'more': False, 'at': 9}))
     reading, more = body.bind(read_page).unwrap()
     assert not more
-    assert {'one', 'two'} <= set(usable(reading))
+    assert {'one', 'two'} <= set(usable_endpoints(reading))
 
 
-@given(before=ENTRIES, after=ENTRIES)
+@given(before=MIXED_ENTRIES, after=MIXED_ENTRIES)
 def test_watch_keeps_the_sound_entries(before: list[Any], after: list[Any]):
     events = [
         *({'gone': False, 'object': each} for each in before),
-        {'gone': False, 'object': wrapped('one')},
+        {'gone': False, 'object': stored_endpoint('one')},
         *after,
     ]
     body = parse_answer(orjson.dumps({'events': events, 'at': 9}))
-    assert 'one' in usable(body.bind(read_changes).unwrap())
+    assert 'one' in usable_endpoints(body.bind(read_changes).unwrap())
 
 
-@given(garbled=st.binary(max_size=30))
-def test_bytes_inside_a_text_spoil_that_text_alone(garbled: bytes):
-    bad = {**wrapped('bad'), 'spec': {**SOUND, 'service': '#mark#'}}
-    sent = orjson.dumps({'items': [wrapped('one'), bad], 'at': 9})
-    quoted = garbled.translate(None, UNQUOTED)
-    body = parse_answer(sent.replace(b'#mark#', quoted))
+@given(random_bytes=st.binary(max_size=30))
+def test_bytes_inside_a_text_spoil_that_text_alone(random_bytes: bytes):
+    corrupt = {
+        **stored_endpoint('bad'),
+        'spec': {**SOUND, 'service': '#mark#'},
+    }
+    sent = orjson.dumps({'items': [stored_endpoint('one'), corrupt], 'at': 9})
+    allowed_bytes = random_bytes.translate(None, JSON_SPECIAL_BYTES)
+    body = parse_answer(sent.replace(b'#mark#', allowed_bytes))
     reading, _more = body.bind(read_page).unwrap()
-    assert 'one' in usable(reading)
+    assert 'one' in usable_endpoints(reading)
 
 
-@given(answer=st.binary() | ANY.map(orjson.dumps))
+@given(answer=st.binary() | ANY_VALUE.map(orjson.dumps))
 def test_any_answer_is_a_reading_or_a_failure(answer: bytes):
     for read in (read_page, read_changes):
         outcome = parse_answer(answer).bind(read)
@@ -163,21 +168,21 @@
 
 
 @given(
-    spec=spoilt(ROUTES)
-    | spoilt(ROUTES['routes'][0]).map(
-        lambda route: {**ROUTES, 'version': 9, 'routes': [route]}
+    spec=altered(VALID_ROUTES)
+    | altered(VALID_ROUTES['routes'][0]).map(
+        lambda route: {**VALID_ROUTES, 'version': 9, 'routes': [route]}
     )
 )
 def test_any_configuration_is_put_in_force_or_changes_nothing(spec: Any):
     state = make_state()
     applier = ObjectApplier(state=state)
     replica = ObjectReplica(kind=ROUTES_KIND, listener=applier.apply_routes)
-    main = StoredObject(name='main', revision=1, spec=ROUTES)
+    main = StoredObject(name='main', revision=1, spec=VALID_ROUTES)
     replica.apply_list(StoreReading(revision=1, objects=[main]))
-    spoilt_main = StoredObject(name='main', revision=2, spec=spec)
-    changes = StoreReading(revision=2, objects=[spoilt_main])
+    altered_main = StoredObject(name='main', revision=2, spec=spec)
+    changes = StoreReading(revision=2, objects=[altered_main])
     replica.apply_changes(changes)
-    assert state.routes.version >= ROUTES['version']
+    assert state.routes.version >= VALID_ROUTES['version']
     state.routes.find_route('h', '/')
     state.routes.find_customer('key')
 
@@ -185,33 +190,35 @@
 @given(
     packed=st.binary()
     | st.binary().map(zlib.compress)
-    | ANY.map(lambda entries: zlib.compress(msgpack.packb(entries)))
+    | ANY_VALUE.map(lambda entries: zlib.compress(msgpack.packb(entries)))
 )
 def test_what_a_peer_packs_is_objects_or_a_broken_protocol(packed: bytes):
     with contextlib.suppress(WireError):
         unpack_objects(packed)
 
 
-@given(entries=ANY | st.lists(st.tuples(st.text(), ANY, st.binary())))
+@given(
+    entries=ANY_VALUE | st.lists(st.tuples(st.text(), ANY_VALUE, st.binary()))
+)
 def test_whole_objects_of_a_peer_are_read_or_a_broken_protocol(entries: Any):
     with contextlib.suppress(WireError):
         read_objects(entries)
 
 
 def test_entry_too_deep_to_be_passed_on_is_told_as_none():
-    deep: list[Any] = []
+    nested: list[Any] = []
     for _level in range(600):
-        deep = [deep]
-    stored = StoredObject(name='deep', revision=1, spec=deep)
+        nested = [nested]
+    stored = StoredObject(name='deep', revision=1, spec=nested)
     (read,) = unpack_objects(pack_objects([stored]))
     assert isinstance(read.spec, str)
 
 
-def with_memory(version: int, tokens: int) -> StoredObject:
-    """Write a configuration whose engines hold so many tokens."""
+def with_cache_size(version: int, tokens: int) -> StoredObject:
+    """Return a configuration whose engines have a cache of some tokens."""
     engine = {'kv_capacity_tokens': tokens}
     spec = {
-        **ROUTES,
+        **VALID_ROUTES,
         'version': version,
         'services': [{'name': 'plain', 'engine': engine}],
     }
@@ -228,13 +235,13 @@
     if endpoint_first:
         applier.apply_endpoint('one', SOUND)
         state.knowledge.caches.find('one').note(parts)
-    applier.apply_routes('main', with_memory(3, 500).spec)
+    applier.apply_routes('main', with_cache_size(3, 500).spec)
     applier.apply_endpoint('one', SOUND)
     cache = state.knowledge.caches.find('one')
     cache.note(parts)
     assert cache.tokens == 500
-    applier.apply_routes('main', with_memory(4, 300).spec)
+    applier.apply_routes('main', with_cache_size(4, 300).spec)
     assert cache.tokens == 300
-    applier.apply_routes('main', with_memory(5, 800).spec)
+    applier.apply_routes('main', with_cache_size(5, 800).spec)
     cache.note(parts)
     assert cache.tokens == 800
