--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -1,4 +1,4 @@
-"""The platform's headers on requests to endpoints."""
+"""Tests of the platform headers on requests to endpoints."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def make_endpoint(name: str) -> PoolEndpoint:
-    """Make an endpoint."""
+    """Create an endpoint with a given name."""
     return PoolEndpoint(
         name=name,
         pool='engines',
@@ -35,7 +35,7 @@
     customer: GatewayCustomer | None = None,
     **sending: object,
 ) -> dict[bytes, list[bytes]]:
-    """Pass a caller's headers on, and list what the endpoint gets."""
+    """Forward a caller's headers, and return those sent to the endpoint."""
     head = read_call(
         b'POST',
         b'/x',
@@ -63,9 +63,9 @@
         arrived_ms=0,
         deadline_ms=1000,
     )
-    known = {'endpoint': make_endpoint('e1'), 'time_left_ms': 900, **sending}
+    attempt = {'endpoint': make_endpoint('e1'), 'time_left_ms': 900, **sending}
     received: dict[bytes, list[bytes]] = {}
-    for name, text in endpoint_headers(call, Sending(**known)):
+    for name, text in endpoint_headers(call, Sending(**attempt)):
         received.setdefault(name.lower(), []).append(text)
     return received
 
@@ -84,8 +84,10 @@
     ],
 )
 def test_callers_cannot_set_what_is_the_gateways(name: bytes):
-    odd = (name.swapcase(), b'theirs')
-    received = sent_headers((name, b'theirs'), odd, (name.upper(), b'theirs'))
+    swapped_case = (name.swapcase(), b'theirs')
+    received = sent_headers(
+        (name, b'theirs'), swapped_case, (name.upper(), b'theirs')
+    )
     assert b'theirs' not in received.get(name.lower(), [])
 
 
@@ -105,19 +107,22 @@
 PROMPT = ((b'X-Token-Count', b'100,10'), (b'X-Model', b'm'))
 
 
-def told_tier(route_tier: int, customer_tier: int | None) -> int:
-    """Tell the priority of a prompt at an engine, 0 the most urgent."""
+def sent_priority(route_tier: int, customer_tier: int | None) -> int:
+    """Return the priority sent with a prompt, 0 the most urgent."""
     customer = GatewayCustomer(name='c', key_hashes=(), tier=customer_tier)
-    told = sent_headers(*PROMPT, tier=route_tier, customer=customer)
-    (priority,) = told[b'x-request-priority']
+    headers = sent_headers(*PROMPT, tier=route_tier, customer=customer)
+    (priority,) = headers[b'x-request-priority']
     return int(priority)
 
 
 def test_more_urgent_route_goes_first_at_engines_whoever_the_customer():
-    """A full engine displaces the newest of the least urgent.
+    """Priority at engines follows the route's tier, not the customer's.
 
-    Prompts of the most urgent route from a customer with a lower priority were
-    told as urgent as those of the next route, came later and were displaced,
-    while those ran on.
+    A full engine displaces the newest of the least urgent prompts. Prompts of
+    the most urgent route, from a customer with a lower priority, were sent
+    with the priority of the next route, arrived later and were displaced,
+    while prompts of the next route continued.
     """
-    assert told_tier(0, customer_tier=1) < told_tier(1, customer_tier=None)
+    assert sent_priority(0, customer_tier=1) < sent_priority(
+        1, customer_tier=None
+    )
--- a/wingfall/gateway/model/__init__.py
+++ b/wingfall/gateway/model/__init__.py
@@ -1,4 +1,4 @@
-"""Plain data that all parts of the gateway share, and the platform's interface.
+"""Data classes shared by all parts of the gateway, and the platform interface.
 
-Imports nothing of the other packages of the gateway.
+Imports nothing from the other packages of the gateway.
 """
--- a/wingfall/gateway/model/answer_signals.py
+++ b/wingfall/gateway/model/answer_signals.py
@@ -1,4 +1,4 @@
-"""What an endpoint says of itself in the head of an answer."""
+"""Signals about an endpoint in the head of its answer."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @final
 class AnswerSignals:
-    """What one answer says of its endpoint, beside the request."""
+    """Signals of one answer about the endpoint, not the request."""
 
     __slots__ = ('faults', 'leaving', 'rate', 'rest_ms')
 
@@ -19,16 +19,16 @@
         rest_ms: int | None = None,
         faults: tuple[str, ...] = (),
     ) -> None:
-        """Describe what was said.
-
-        :param rate: requests a second that the endpoint takes from all
-            gateways together, None if it names no limit.
-        :param leaving: whether it is about to end, so that it wants nothing
-            new.
-        :param rest_ms: for how long it wants nothing from this gateway, None
-            if it doesn't say.
-        :param faults: what was said of these but can't be read; then nothing
-            is known of it, neither that it holds nor that it doesn't.
+        """Create the signals of an answer.
+
+        :param rate: requests per second that the endpoint accepts from all
+            gateways together, None if the answer sets no limit.
+        :param leaving: whether the endpoint is about to end and accepts no new
+            requests.
+        :param rest_ms: how long the endpoint accepts no requests from this
+            gateway, in milliseconds, None if the answer doesn't say.
+        :param faults: signals that are present but unreadable; whether they
+            apply or not is unknown.
         """
         self.rate = rate
         self.leaving = leaving
--- a/wingfall/gateway/model/attempt_end.py
+++ b/wingfall/gateway/model/attempt_end.py
@@ -1,4 +1,4 @@
-"""How an attempt at an endpoint ended."""
+"""Outcome of an attempt at an endpoint."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class AttemptEnd(enum.StrEnum):
-    """The ends of an attempt, as logs and metrics name them."""
+    """Outcomes of an attempt, as named in logs and metrics."""
 
     answered = 'answered'
-    failed = 'failed'  # A whole answer that says the run failed.
-    not_sent = 'not_sent'  # No connection came up.
-    held = 'held'  # The endpoint takes no request now; nothing was sent.
-    not_run = 'not_run'  # The endpoint has proved that it did not run it.
+    failed = 'failed'  # A complete answer that reports a failed run.
+    not_sent = 'not_sent'  # No connection was established.
+    held = 'held'  # The endpoint is withheld; nothing was sent.
+    not_run = 'not_run'  # The endpoint proved that the request did not run.
     lost = 'lost'  # The connection broke before an answer.
-    late = 'late'  # No first byte within the attempt's time.
-    cut = 'cut'  # A stream that broke after events were passed on.
+    late = 'late'  # No first byte within the attempt's timeout.
+    cut = 'cut'  # The stream broke after events were forwarded.
--- a/wingfall/gateway/model/binding.py
+++ b/wingfall/gateway/model/binding.py
@@ -1,7 +1,7 @@
-"""What a gateway needs of the platform it runs on.
+"""Interface between a gateway and the platform it runs on.
 
-The interface that :mod:`wingfall.platform` implements: it reads and writes the
-platform's headers, paths and objects; its names stay on its side.
+:mod:`wingfall.platform` implements it: it reads and writes the platform's
+headers, paths and objects, so no other package uses the platform's names.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @final
 class Sending:
-    """What an attempt adds to a caller's request."""
+    """Parameters that an attempt adds to a caller's request."""
 
     __slots__ = (
         'backup',
@@ -50,16 +50,16 @@
         backup: PoolEndpoint | None = None,
         continues: bool = False,
     ) -> None:
-        """Describe a sending.
-
-        :param endpoint: where the request goes.
-        :param time_left_ms: how long the caller still waits.
-        :param last_event_id: the event after which the stream shall go on.
-        :param source: the engine that the endpoint shall copy kept parts of
-            the prompt from.
-        :param backup: the engine that shall keep a copy of the run.
-        :param continues: whether the endpoint holds a copy of this very run
-            and shall go on with it.
+        """Create the parameters of an attempt.
+
+        :param endpoint: the endpoint that receives the request.
+        :param time_left_ms: remaining time of the caller, in milliseconds.
+        :param last_event_id: id of the event after which the stream continues.
+        :param source: the engine from which the endpoint copies cached prompt
+            parts.
+        :param backup: the engine that stores a copy of the run.
+        :param continues: whether the endpoint holds a copy of this run and
+            continues it.
         """
         self.endpoint = endpoint
         self.time_left_ms = time_left_ms
@@ -71,7 +71,7 @@
 
 @final
 class AnswerHead:
-    """What the head of an endpoint's answer means."""
+    """Meaning of the head of an endpoint's answer."""
 
     __slots__ = ('call_id', 'not_run', 'retry_elsewhere', 'signals', 'valid')
 
@@ -84,13 +84,13 @@
         retry_elsewhere: bool,
         signals: AnswerSignals = NO_SIGNALS,
     ) -> None:
-        """Describe an answer.
+        """Create the head of an answer.
 
-        :param call_id: the request it says it answers, empty if it doesn't.
-        :param not_run: whether it proves that the request did not run.
-        :param valid: whether it can be the endpoint's true answer.
+        :param call_id: id of the request answered, empty if not given.
+        :param not_run: whether the answer proves that the request did not run.
+        :param valid: whether it can be the endpoint's genuine answer.
         :param retry_elsewhere: whether the run failed at this endpoint.
-        :param signals: what it says of the endpoint itself.
+        :param signals: signals about the endpoint itself.
         """
         self.call_id = call_id
         self.not_run = not_run
@@ -113,22 +113,22 @@
         """Read the head of a caller's request."""
 
     def endpoint_headers(self, call: Call, sending: Sending) -> Headers:
-        """Write the headers of a request to an endpoint."""
+        """Return the headers of a request to an endpoint."""
 
     def memory_request(self, endpoint: PoolEndpoint) -> tuple[bytes, Headers]:
-        """Give path and headers of the question what an engine keeps."""
+        """Return path and headers to query an engine's prompt cache."""
 
     def read_memory(self, body: bytes) -> Result[tuple[PromptPart, ...], str]:
-        """Read the parts of prompts that an engine says it keeps."""
+        """Read the prompt parts that an engine reports as cached."""
 
     def read_answer(self, status: int, headers: Headers) -> AnswerHead:
         """Read the head of an endpoint's answer."""
 
     def caller_headers(self, headers: Headers) -> Headers:
-        """Choose the headers of an answer that the caller shall see."""
+        """Return the headers of an answer to forward to the caller."""
 
     def refusal_headers(self, head: CallHead) -> Headers:
-        """Write the headers of an answer that is the gateway's own."""
+        """Return the headers of an answer by the gateway itself."""
 
     def read_routes(self, name: str, spec: Any) -> Result[Routes, ObjectFault]:
         """Read the configuration from its stored object."""
@@ -141,20 +141,20 @@
         """Read an endpoint from its stored object."""
 
     def routes_store(self) -> ObjectStore:
-        """Give the store of the configuration."""
+        """Return the store of the configuration."""
 
     def endpoints_store(self) -> ObjectStore:
-        """Give the store of the endpoints."""
+        """Return the store of the endpoints."""
 
     def leases_store(self) -> ObjectWriter:
-        """Give the store of the leases."""
+        """Return the store of the leases."""
 
     def duty_calls(self, address: str) -> DutyCalls:
-        """Give the calls that only the holder of a duty makes."""
+        """Return the platform calls reserved to the holder of a duty."""
 
 
 class BindingFactory(Protocol):
-    """How a binding is made."""
+    """Factory of a binding."""
 
     def __call__(
         self,
@@ -162,10 +162,10 @@
         settings: SimpleNamespace,
         metrics: Metrics,
     ) -> Binding:
-        """Make the binding.
+        """Create the binding.
 
         :param settings: section ``store`` of the gateway's settings.
-        :param metrics: where calls to the store are counted.
+        :param metrics: metrics that count the calls to the store.
         """
 
 
--- a/wingfall/gateway/model/call.py
+++ b/wingfall/gateway/model/call.py
@@ -1,6 +1,6 @@
 """A request at a gateway, from its head to its final answer.
 
-Plain data; times are milliseconds, deadlines readings of the clock.
+Times are in milliseconds; deadlines are timestamps of the clock.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @final
 class CallHead:
-    """What a caller's request says before its body."""
+    """Head of a caller's request."""
 
     __slots__ = (
         'api_key',
@@ -43,17 +43,18 @@
         last_event_id: str | None,
         prompt: Prompt | None,
     ) -> None:
-        """Describe a request.
-
-        :param method: its method.
-        :param target: path and query as they came.
-        :param host: the host that it names, without a port.
-        :param headers: the headers that an endpoint shall see.
-        :param call_id: id of this request, empty if it has none.
-        :param api_key: key of the customer, if any.
-        :param time_left_ms: how long the caller waits, if it tells.
-        :param last_event_id: the event after which a stream goes on, if any.
-        :param prompt: what it tells of its prompt, None for plain requests.
+        """Create the head of a request.
+
+        :param method: HTTP method.
+        :param target: path and query as received.
+        :param host: the requested host, without a port.
+        :param headers: the headers to forward to an endpoint.
+        :param call_id: id of the request, empty if it has none.
+        :param api_key: API key of the customer, if any.
+        :param time_left_ms: how long the caller waits, if given.
+        :param last_event_id: id of the event after which a stream continues,
+            if any.
+        :param prompt: description of the prompt, None for plain requests.
         """
         self.method = method
         self.target = target
@@ -67,7 +68,7 @@
 
     @property
     def path(self) -> str:
-        """The path without the query."""
+        """Path without the query."""
         return self.target.split(b'?', 1)[0].decode('latin-1')
 
 
@@ -100,18 +101,18 @@
         priority: int | None = None,
         fingerprint: bytes = b'',
     ) -> None:
-        """Accept a request.
-
-        :param head: its head.
-        :param body: its whole body.
-        :param route: the route it takes.
-        :param customer: who sent it, None on public routes.
-        :param arrived_ms: when its head was read.
-        :param deadline_ms: when it must have its final answer.
-        :param priority: rank of a prompt at engines, 0 the most urgent; the
-            route's tier if it isn't told.
-        :param fingerprint: what it has in common with the same request sent
-            again; empty if nothing is to be learned of it.
+        """Create a call for an accepted request.
+
+        :param head: head of the request.
+        :param body: complete body of the request.
+        :param route: the route that serves the request.
+        :param customer: the sender, None on public routes.
+        :param arrived_ms: when the head was read.
+        :param deadline_ms: when the final answer is due.
+        :param priority: priority of a prompt at engines, 0 the most urgent;
+            defaults to the route's tier.
+        :param fingerprint: equal for retries of the same request; empty if
+            the request is not to be tracked.
         """
         self.head = head
         self.body = body
@@ -121,14 +122,14 @@
         self.deadline_ms = deadline_ms
         self.fingerprint = fingerprint
         self.priority = route.tier if priority is None else priority
-        # Whether an endpoint is known to have begun to run it.
+        # Whether an endpoint is known to have started the run.
         self.begun = False
-        # Whether its work was counted as asked by its customer.
+        # Whether the work was counted in its customer's demand.
         self.asked = False
 
     @property
     def call_id(self) -> str:
-        """Id of the request, for logs."""
+        """Request id for logs."""
         return self.head.call_id
 
     @property
@@ -138,6 +139,6 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether it may be sent again though it may have run."""
+        """Whether a retry is allowed although the request may have run."""
         route = self.route
         return route.resumable if route.streaming else route.repeatable
--- a/wingfall/gateway/model/held.py
+++ b/wingfall/gateway/model/held.py
@@ -1,4 +1,4 @@
-"""Why an endpoint takes no request now."""
+"""Reason why an endpoint is withheld."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @final
 class Held(enum.StrEnum):
-    """The reasons, as logs and metrics name them."""
+    """Reasons to send an endpoint no request, as named in logs and metrics."""
 
     leaving = 'leaving'
     limited = 'limited'
--- a/wingfall/gateway/model/signal_change.py
+++ b/wingfall/gateway/model/signal_change.py
@@ -1,4 +1,4 @@
-"""What the head of an answer has changed in what is known of its endpoint."""
+"""Change of an endpoint's recorded signals by the head of an answer."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @final
 class SignalChange(enum.StrEnum):
-    """The changes, as metrics name them."""
+    """Changes, as named in metrics."""
 
     limit_named = 'limit_named'
     limit_ended = 'limit_ended'
