--- a/wingfall/gateway/model/duty.py
+++ b/wingfall/gateway/model/duty.py
@@ -1,8 +1,8 @@
-"""Duties that one gateway at a time does for all, and what they need.
+"""Data of the duties that one gateway at a time performs for all gateways.
 
-A duty's calls go to the platform, which can't tell a gateway that still holds
-the duty from one that did: each call carries a fencing token, which rises with
-each change of the holder.
+The platform can't distinguish the current holder of a duty from a former one,
+so each call to it carries a fencing token, which rises with each change of the
+holder.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 
 @final
 class Fence:
-    """Under which right a call is made."""
+    """Fencing token of a call, and its holder."""
 
     __slots__ = ('holder', 'token')
 
     def __init__(self, *, holder: str, token: int) -> None:
-        """Describe a right.
+        """Create a fence.
 
-        :param holder: name of the gateway.
-        :param token: the fencing token, higher than that of any holder before.
+        :param holder: name of the gateway that holds the duty.
+        :param token: the fencing token, higher than that of any former holder.
         """
         self.holder = holder
         self.token = token
@@ -35,15 +35,15 @@
 
 @final
 class UsageReport:
-    """How many requests of each customer began to run in a window."""
+    """Number of requests per customer that started in a window."""
 
     __slots__ = ('counts', 'window')
 
     def __init__(self, *, window: int, counts: Mapping[str, int]) -> None:
-        """Describe a window.
+        """Create the report of a window.
 
-        :param window: its number; it began so many window lengths after 1970.
-        :param counts: requests by the name of their customer.
+        :param window: number of the window, in window lengths since 1970.
+        :param counts: number of requests by customer name.
         """
         self.window = window
         self.counts = dict(counts)
@@ -51,7 +51,7 @@
 
 @final
 class LeaseRecord:
-    """The lease of the duties as it stands in the platform's store."""
+    """Lease of the duties as stored by the platform."""
 
     __slots__ = ('decided', 'holder', 'known', 'name', 'reports', 'token')
 
@@ -65,17 +65,17 @@
         reports: Mapping[int, Mapping[str, int]] | None = None,
         known: bool = True,
     ) -> None:
-        """Describe the lease.
-
-        :param holder: the process that holds it, empty if it was given back.
-        :param name: the gateway's name, for people.
-        :param token: the holder's fencing token; 0 in the write by which it
-            took the lease, whose revision is the token.
-        :param decided: the last window whose report is decided.
-        :param reports: decided reports that may not have been delivered, by
-            window; what stands here and nothing else is sent for them.
-        :param known: False if the store has none that can be read, so that
-            who held it, and what was decided, can't be told.
+        """Create the record of a lease.
+
+        :param holder: the process that holds the lease, empty if released.
+        :param name: name of the gateway, for display.
+        :param token: the holder's fencing token; 0 in the write that
+            acquires the lease, whose revision becomes the token.
+        :param decided: number of the last window whose report is final.
+        :param reports: final reports that may be undelivered, by window; only
+            these counts are ever sent for their windows.
+        :param known: False if the store has no readable lease, so that its
+            last holder and the final reports are unknown.
         """
         self.holder = holder
         self.name = name
@@ -88,13 +88,13 @@
 
     @property
     def given_back(self) -> bool:
-        """Whether its last holder has ended to act."""
+        """Whether the last holder released the lease."""
         return self.known and not self.holder
 
     def to_spec(self) -> dict[str, Any]:
-        """Write it as the spec of a stored object.
+        """Return the lease as the spec of a stored object.
 
-        :returns: JSON.
+        :returns: a JSON object.
         """
         return {
             'holder': self.holder,
@@ -110,8 +110,8 @@
 def read_lease_record(spec: Any) -> LeaseRecord:
     """Read the lease from its stored object.
 
-    :param spec: what the object says; another writer may have left anything.
-    :returns: the lease, one that is not known if the spec is no lease.
+    :param spec: spec of the object, of any form since others may write it.
+    :returns: the lease, with ``known`` False if the spec is invalid.
     """
     try:
         return LeaseRecord(
@@ -133,7 +133,7 @@
 
 
 class DutyCalls(Protocol):
-    """The calls to the platform that only the holder of a duty makes."""
+    """Platform calls reserved to the holder of a duty."""
 
     def report_usage(
         self,
@@ -141,4 +141,4 @@
         fence: Fence,
         timeout_ms: int,
     ) -> Result[None, PlatformError]:
-        """Report a window; nothing is on its way any more once it returns."""
+        """Report a window; no request is in flight once this returns."""
--- a/wingfall/gateway/model/endpoint_crash.py
+++ b/wingfall/gateway/model/endpoint_crash.py
@@ -1,4 +1,4 @@
-"""An endpoint that crashed, and the requests that were there."""
+"""Crash of an endpoint, and the requests that ran there."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @final
 class EndpointCrash:
-    """One endpoint's crash, as all gateways together have seen it."""
+    """Crash of one endpoint, merged from all gateways."""
 
     __slots__ = (
         'crashed_ms',
@@ -32,41 +32,41 @@
         silent: Iterable[Fingerprint] = (),
         streaming: Iterable[Fingerprint] = (),
     ) -> None:
-        """Describe a crash.
+        """Create the record of a crash.
 
         :param endpoint: name of the incarnation that crashed.
-        :param crashed_ms: when, a reading of this gateway's clock.
-        :param told_by: the gateway that was the first to tell of it.
-        :param silent: requests there that had no output.
-        :param streaming: requests there whose output had just begun.
+        :param crashed_ms: time of the crash by this gateway's clock.
+        :param told_by: the gateway that reported the crash first.
+        :param silent: requests without output at the crash.
+        :param streaming: requests whose output had just started.
         """
         self.endpoint = endpoint
         self.crashed_ms = crashed_ms
         self.told_by = told_by
         self.silent = set(silent)
         self.streaming = set(streaming)
-        # Whether a gateway was lost at about that time, which may have had
-        # further requests there.
+        # Whether a gateway was lost at about the time of the crash; it may
+        # have had further requests there.
         self.incomplete = False
 
     @property
     def suspects(self) -> set[Fingerprint]:
-        """All requests that may have been the cause."""
+        """All requests that may have caused the crash."""
         return self.silent | self.streaming
 
     def has(self, fingerprint: Fingerprint) -> bool:
-        """Tell whether a request was there.
+        """Check if a request ran at the endpoint.
 
-        :param fingerprint: the request.
-        :returns: whether it was.
+        :param fingerprint: fingerprint of the request.
+        :returns: whether the request is a suspect.
         """
         return fingerprint in self.silent or fingerprint in self.streaming
 
     def narrowed(self, suspects: set[Fingerprint]) -> EndpointCrash:
-        """Describe the same crash with some of its requests.
+        """Return a copy of the crash limited to some of its requests.
 
-        :param suspects: the requests that are kept.
-        :returns: a copy.
+        :param suspects: the requests to retain.
+        :returns: the copy.
         """
         return EndpointCrash(
             endpoint=self.endpoint,
--- a/wingfall/gateway/model/endpoint_leaving.py
+++ b/wingfall/gateway/model/endpoint_leaving.py
@@ -1,4 +1,4 @@
-"""An endpoint that has said that it is leaving."""
+"""Announcement of an endpoint that it is leaving."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 @final
 class EndpointLeaving:
-    """Who heard it, and when by this gateway's clock."""
+    """Source of the announcement, and its time by this gateway's clock."""
 
     __slots__ = ('heard_ms', 'told_by')
 
     def __init__(self, *, heard_ms: int, told_by: str) -> None:
-        """Describe a leaving.
+        """Create the record of an announcement.
 
-        :param heard_ms: when the first answer said so.
-        :param told_by: the gateway that had the answer.
+        :param heard_ms: when the first such answer was received.
+        :param told_by: the gateway that received the answer.
         """
         self.heard_ms = heard_ms
         self.told_by = told_by
--- a/wingfall/gateway/model/endpoint_limit.py
+++ b/wingfall/gateway/model/endpoint_limit.py
@@ -1,4 +1,4 @@
-"""A limit that an endpoint has named, or that it names no longer."""
+"""Rate limit that an endpoint sets or has removed."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 @final
 class EndpointLimit:
-    """What one answer said of an endpoint's limit, and when.
+    """Rate limit of an endpoint as reported by one answer.
 
-    All times are readings of this gateway's clock in milliseconds.
+    All times are by this gateway's clock, in milliseconds.
     """
 
     __slots__ = ('changed_ms', 'heard_ms', 'rate', 'sent_ms', 'told_by')
@@ -24,14 +24,14 @@
         changed_ms: int,
         told_by: str,
     ) -> None:
-        """Describe a limit.
+        """Create the record of a limit.
 
-        :param rate: requests a second that the endpoint takes from all
-            gateways together, None if the answer named no limit.
-        :param sent_ms: when the request of that answer was sent.
-        :param heard_ms: when its head came.
-        :param changed_ms: when this rate was first heard.
-        :param told_by: the gateway that had the answer.
+        :param rate: requests per second that the endpoint accepts from all
+            gateways together, None if the answer sets no limit.
+        :param sent_ms: when the answer's request was sent.
+        :param heard_ms: when the answer's head was received.
+        :param changed_ms: when this rate was first received.
+        :param told_by: the gateway that received the answer.
         """
         self.rate = rate
         self.sent_ms = sent_ms
@@ -40,26 +40,28 @@
         self.told_by = told_by
 
 
-def choose_newer(known: EndpointLimit, told: EndpointLimit) -> EndpointLimit:
-    """Choose which of two limits of one endpoint holds.
+def choose_newer(
+    current: EndpointLimit, update: EndpointLimit
+) -> EndpointLimit:
+    """Return the limit of an endpoint that applies after an update.
 
-    Answers overtake each other. One was surely written after the other only if
-    its request was sent after the other was heard; where that can't be told,
-    the lower limit holds.
+    Answers overtake each other. An answer is certainly newer only if its
+    request was sent after the other answer was received; if the order is
+    unknown, the lower limit applies.
 
-    :param known: the limit that holds by now.
-    :param told: what another answer said.
-    :returns: the one that holds from now on.
+    :param current: the current limit.
+    :param update: the limit in another answer.
+    :returns: the limit that applies from now on.
     """
-    if told.sent_ms > known.heard_ms:
-        return told
-    if known.sent_ms > told.heard_ms:
-        return known
-    known_rate, told_rate = _bound(known), _bound(told)
-    if known_rate == told_rate:
-        return max(known, told, key=lambda each: each.heard_ms)
-    return told if told_rate < known_rate else known
+    if update.sent_ms > current.heard_ms:
+        return update
+    if current.sent_ms > update.heard_ms:
+        return current
+    current_rate, update_rate = _rate_bound(current), _rate_bound(update)
+    if current_rate == update_rate:
+        return max(current, update, key=lambda each: each.heard_ms)
+    return update if update_rate < current_rate else current
 
 
-def _bound(limit: EndpointLimit) -> float:
+def _rate_bound(limit: EndpointLimit) -> float:
     return math.inf if limit.rate is None else limit.rate
