--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same, and what doesn't."""
+"""Tests of request fingerprints and body digests."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
     customer: str = 'oslo',
     body: tuple[bytes, ...] = (b'one', b'two'),
 ) -> bytes:
-    """Make the fingerprint of a request."""
+    """Return the fingerprint of a request."""
     head = read_call(method, target, [(b'Host', host), *headers])
     reader = BodyReader()
-    for piece in body:
-        reader.add(piece)
+    for chunk in body:
+        reader.add(chunk)
     return make_fingerprint(head, customer, reader.finish().digest)
 
 
--- a/wingfall/gateway/model/fingerprint.py
+++ b/wingfall/gateway/model/fingerprint.py
@@ -1,8 +1,8 @@
-"""The fingerprint of a request: the same whenever and wherever it comes again.
+"""Fingerprint of a request, equal for all retries at all gateways.
 
-Method, host, path with query, customer and body make it. What differs from one
-sending to the next is left out: ids, deadlines, the event after which a stream
-goes on, and everything that a gateway adds.
+It covers method, host, path with query, customer and body. It leaves out what
+differs between retries: ids, deadlines, the event after which a stream
+continues, and everything that a gateway adds.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
 Fingerprint: TypeAlias = bytes
 
-# Bytes of a fingerprint. Two requests with one fingerprint take some 2^64
-# trials.
+# Length in bytes; finding two requests with equal fingerprints takes about
+# 2^64 trials.
 FINGERPRINT_BYTES: Final = 16
 
 
@@ -25,11 +25,11 @@
     customer: str,
     body_digest: bytes,
 ) -> Fingerprint:
-    """Make the fingerprint of a request.
+    """Return the fingerprint of a request.
 
-    :param head: its head.
-    :param customer: name of its customer, empty on public routes.
-    :param body_digest: digest of its body.
+    :param head: head of the request.
+    :param customer: name of the customer, empty on public routes.
+    :param body_digest: digest of the body.
     :returns: the fingerprint.
     """
     fields = (
@@ -39,6 +39,6 @@
         customer.encode(),
         body_digest,
     )
-    # Each field with its length, so that no two requests read the same.
-    framed = b''.join(b'%d:%b' % (len(each), each) for each in fields)
-    return hashlib.blake2b(framed, digest_size=FINGERPRINT_BYTES).digest()
+    # Length prefixes keep the encoding of different requests distinct.
+    encoded = b''.join(b'%d:%b' % (len(field), field) for field in fields)
+    return hashlib.blake2b(encoded, digest_size=FINGERPRINT_BYTES).digest()
--- a/wingfall/gateway/model/object_store.py
+++ b/wingfall/gateway/model/object_store.py
@@ -1,6 +1,6 @@
-"""Objects of the platform's store, and how a gateway reads them.
+"""Objects of the platform's store, and the interface to access them.
 
-A revision is the store's counter at a change; it only rises.
+A revision is the store's change counter; it only rises.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
         revision: int,
         spec: Any,
     ) -> None:
-        """Keep an object.
+        """Create an object.
 
-        :param name: its name within its kind.
-        :param revision: the store's counter at its last change.
-        :param spec: what it says, of any type since anybody may have written
-            it; None once it is gone.
+        :param name: name of the object within its kind.
+        :param revision: the store's counter at the object's last change.
+        :param spec: content of the object, of any type since it may come from
+            any writer; None once the object is deleted.
         """
         self.name = name
         self.revision = revision
@@ -42,7 +42,7 @@
 
 @final
 class StoreReading:
-    """The answer of one call to the store."""
+    """Answer to one call to the store."""
 
     __slots__ = ('nameless', 'objects', 'revision')
 
@@ -53,12 +53,11 @@
         objects: list[StoredObject],
         nameless: int = 0,
     ) -> None:
-        """Keep a reading.
+        """Create the answer.
 
-        :param revision: the store's counter up to which it is complete.
-        :param objects: the objects listed or changed, in order.
-        :param nameless: how many more there were, without a name to know
-            them by.
+        :param revision: the store's counter up to which the answer is complete.
+        :param objects: the listed or changed objects, in order.
+        :param nameless: number of further objects that have no name.
         """
         self.revision = revision
         self.objects = objects
@@ -66,14 +65,14 @@
 
 
 class ObjectStore(Protocol):
-    """Reads one kind of object; tells of progress as answers come in."""
+    """Reader of one kind of object that reports progress of answers."""
 
     def list_all(
         self,
         *,
         progress: Callable[[], None],
     ) -> Result[StoreReading, PlatformError]:
-        """Read all objects of the kind."""
+        """Return all objects of the kind."""
 
     def watch(
         self,
@@ -82,14 +81,17 @@
         progress: Callable[[], None],
         brief: bool = False,
     ) -> Result[StoreReading, PlatformError]:
-        """Wait a bounded time, or not at all, for changes after a revision."""
+        """Return the changes after a revision, waiting a bounded time.
+
+        With ``brief``, return the changes so far without waiting for more.
+        """
 
 
 class ObjectWriter(Protocol):
-    """Reads and writes single objects of one kind by condition."""
+    """Store of one kind of object with conditional writes."""
 
     def read(self, name: str) -> Result[StoredObject | None, PlatformError]:
-        """Read an object as it is now, None if there is none."""
+        """Return an object as currently stored, None if there is none."""
 
     def write(
         self,
@@ -97,7 +99,7 @@
         spec: Any,
         revision: int | None,
     ) -> Result[StoredObject, PlatformError]:
-        """Make an object, or replace the one that has a revision.
+        """Create an object, or replace the object of a given revision.
 
         A failure with status 409 proves that nothing was written; one without
         an answer proves nothing, and the write may still take effect.
--- a/wingfall/gateway/model/pool_endpoint.py
+++ b/wingfall/gateway/model/pool_endpoint.py
@@ -1,4 +1,4 @@
-"""One endpoint as the platform lists it."""
+"""Endpoint of a pool."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @final
 class PoolEndpoint:
-    """An endpoint of a pool as the platform lists it."""
+    """Endpoint of a pool as listed by the platform."""
 
     __slots__ = (
         'born_ms',
@@ -34,19 +34,19 @@
         instance: str | None = None,
         born_ms: int | None = None,
     ) -> None:
-        """Describe an endpoint.
+        """Create an endpoint.
 
-        :param name: name of this incarnation, never used twice.
-        :param pool: the pool it belongs to.
-        :param host: its IP number.
-        :param port: its port.
-        :param zone: its availability zone.
-        :param slots: requests it runs at once.
-        :param draining: whether it is about to leave.
-        :param instance: the platform's id, which an endpoint that starts
-            again may keep; the name if it isn't told.
-        :param born_ms: when this incarnation started, Unix milliseconds; None
-            on platforms that don't tell, where an id is never used twice.
+        :param name: name of this incarnation, never reused.
+        :param pool: name of its pool.
+        :param host: IP address.
+        :param port: TCP port.
+        :param zone: availability zone.
+        :param slots: number of requests that it runs concurrently.
+        :param draining: whether the endpoint is about to leave.
+        :param instance: id on the platform, which may stay the same after a
+            restart; defaults to the name.
+        :param born_ms: start of this incarnation in Unix milliseconds; None on
+            platforms that don't report it, where ids are never reused.
         """
         self.name = name
         self.instance = name if instance is None else instance
--- a/wingfall/gateway/model/prompt.py
+++ b/wingfall/gateway/model/prompt.py
@@ -1,6 +1,6 @@
-"""What is known of a prompt before it runs: its parts and their tokens.
+"""Parts of a prompt and their tokens, as known before it runs.
 
-Parts that other prompts share come first; the last one is its own.
+Parts shared with other prompts come first; the last part is not shared.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 
 @final
 class PromptPart:
-    """A piece of a prompt that other prompts may share."""
+    """Part of a prompt that other prompts may share."""
 
     __slots__ = ('part_id', 'tokens')
 
     def __init__(self, *, part_id: str, tokens: int) -> None:
-        """Describe a part.
+        """Create a prompt part.
 
-        :param part_id: names the same piece in all prompts.
-        :param tokens: its length.
+        :param part_id: id of the part, the same in all prompts.
+        :param tokens: length in tokens.
         """
         self.part_id = part_id
         self.tokens = tokens
@@ -26,7 +26,7 @@
 
 @final
 class Prompt:
-    """What is known of a prompt before it runs."""
+    """Properties of a prompt that are known before it runs."""
 
     __slots__ = ('output_tokens', 'parts')
 
@@ -36,20 +36,20 @@
         parts: tuple[PromptPart, ...] = (),
         output_tokens: int = 0,
     ) -> None:
-        """Describe a prompt.
+        """Create a prompt.
 
-        :param parts: its pieces in order; the last is its own.
-        :param output_tokens: likely length of the answer.
+        :param parts: its parts in order; the last is not shared.
+        :param output_tokens: expected length of the answer in tokens.
         """
         self.parts = parts
         self.output_tokens = output_tokens
 
     @property
     def tokens(self) -> int:
-        """Length of the whole prompt."""
+        """Length of the whole prompt in tokens."""
         return sum(part.tokens for part in self.parts)
 
     @property
     def shared(self) -> tuple[PromptPart, ...]:
-        """All parts but the last."""
+        """Parts that other prompts may share: all but the last."""
         return self.parts[:-1]
--- a/wingfall/gateway/model/request_body.py
+++ b/wingfall/gateway/model/request_body.py
@@ -1,7 +1,7 @@
-"""The body of a caller's request, and its digest.
+"""Body of a caller's request, and its digest.
 
-A body is digested while it is read, so that a long one does not hold up other
-requests and is not held twice for it.
+The digest is computed while the body is read, so that a long body does not
+delay other requests and is not stored twice.
 """
 
 from __future__ import annotations
@@ -9,21 +9,21 @@
 import hashlib
 from typing import Final, final
 
-# Bytes of a digest. Two bodies with one digest take some 2^64 trials.
+# Length in bytes; a digest collision takes about 2^64 trials.
 DIGEST_BYTES: Final = 16
 
 
 @final
 class RequestBody:
-    """A whole body and its digest."""
+    """Complete body and its digest."""
 
     __slots__ = ('digest', 'whole')
 
     def __init__(self, *, whole: bytes, digest: bytes) -> None:
-        """Keep a body.
+        """Create a body.
 
-        :param whole: its bytes.
-        :param digest: their digest.
+        :param whole: bytes of the body.
+        :param digest: digest of the body.
         """
         self.whole = whole
         self.digest = digest
@@ -31,32 +31,32 @@
 
 @final
 class BodyReader:
-    """Collects the pieces of a body and digests each as it comes."""
+    """Accumulator of the chunks of a body and of its digest."""
 
-    __slots__ = ('_hash', '_pieces', 'size')
+    __slots__ = ('_hash', '_chunks', 'size')
 
     def __init__(self) -> None:
-        """Start with an empty body."""
+        """Create an empty body."""
         self._hash = hashlib.blake2b(digest_size=DIGEST_BYTES)
-        self._pieces: list[bytes] = []
-        # Bytes that have come.
+        self._chunks: list[bytes] = []
+        # Bytes received.
         self.size = 0
 
-    def add(self, piece: bytes) -> None:
-        """Add a piece.
+    def add(self, chunk: bytes) -> None:
+        """Append a chunk.
 
-        :param piece: the bytes that follow.
+        :param chunk: the next bytes of the body.
         """
-        self._hash.update(piece)
-        self._pieces.append(piece)
-        self.size += len(piece)
+        self._hash.update(chunk)
+        self._chunks.append(chunk)
+        self.size += len(chunk)
 
     def finish(self) -> RequestBody:
-        """Join the pieces.
+        """Return the body joined from its chunks.
 
-        :returns: the whole body.
+        :returns: the complete body.
         """
         return RequestBody(
-            whole=b''.join(self._pieces),
+            whole=b''.join(self._chunks),
             digest=self._hash.digest(),
         )
--- a/wingfall/gateway/model/routes.py
+++ b/wingfall/gateway/model/routes.py
@@ -1,7 +1,7 @@
-"""The configuration in force at a gateway: routes, pools and customers.
+"""Active configuration of a gateway: routes, pools and customers.
 
-Plain data with indexes for look-ups; a version is replaced as a whole. Times
-are milliseconds, a tier of 0 is the highest.
+Data classes with indexes for lookups; a version is replaced as a whole. Times
+are in milliseconds; tier 0 is the highest.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
     from wingfall.objects.request_class import Target
 
-# Tier of a route that names none: the middle of 0 to 9.
+# Tier of a route without one: the middle of 0 to 9.
 DEFAULT_TIER: Final = 5
 
 
 @final
 class CallerLimits:
-    """Bounds on what a caller may send and how long it may take."""
+    """Limits on the size and duration of callers' requests."""
 
     __slots__ = ('body_bytes', 'head_bytes', 'head_ms', 'idle_ms')
 
@@ -33,12 +33,12 @@
         head_ms: int = 5000,
         idle_ms: int = 15_000,
     ) -> None:
-        """Set the bounds.
+        """Initialize the limits.
 
-        :param head_bytes: longest request head.
-        :param body_bytes: longest request body.
-        :param head_ms: longest time from a head's first byte to its last.
-        :param idle_ms: how long a kept connection may rest.
+        :param head_bytes: maximum length of a request head.
+        :param body_bytes: maximum length of a request body.
+        :param head_ms: maximum time from the first to the last byte of a head.
+        :param idle_ms: maximum idle time of a persistent connection.
         """
         self.head_bytes = head_bytes
         self.body_bytes = body_bytes
@@ -48,7 +48,7 @@
 
 @final
 class Pool:
-    """Endpoints that serve the same thing."""
+    """Group of endpoints that provide the same service."""
 
     __slots__ = (
         'backs_up',
@@ -67,16 +67,16 @@
         backs_up: bool = False,
         event_tokens: int = 0,
     ) -> None:
-        """Describe a pool.
-
-        :param name: its name.
-        :param memory_tokens: prompt tokens an engine of it can hold; 0 for
-            plain services.
-        :param copy_tokens_per_ms: kept tokens that engines copy from each
-            other in a millisecond, 0 if they don't.
-        :param backs_up: whether engines keep copies of each other's runs.
-        :param event_tokens: tokens of an answer that come with one event of
-            its stream, 0 if unknown.
+        """Create a pool.
+
+        :param name: name of the pool.
+        :param memory_tokens: prompt tokens that an engine of the pool can hold;
+            0 for plain services.
+        :param copy_tokens_per_ms: cached tokens per millisecond that engines
+            copy from each other, 0 if they don't.
+        :param backs_up: whether engines store copies of each other's runs.
+        :param event_tokens: tokens of an answer per event of its stream, 0 if
+            unknown.
         """
         self.name = name
         self.memory_tokens = memory_tokens
@@ -87,15 +87,15 @@
 
 @final
 class WeightedPool:
-    """One of a route's pools and its share of the traffic."""
+    """Pool of a route and its share of the traffic."""
 
     __slots__ = ('pool', 'weight')
 
     def __init__(self, *, pool: str, weight: float) -> None:
-        """Give a pool a weight.
+        """Create a weighted pool.
 
         :param pool: name of the pool.
-        :param weight: its share beside the other pools of the route.
+        :param weight: share relative to the other pools of the route.
         """
         self.pool = pool
         self.weight = weight
@@ -103,7 +103,7 @@
 
 @final
 class Route:
-    """The terms under which requests to a host and path are served."""
+    """Rules for serving the requests to a host and path."""
 
     __slots__ = (
         'host',
@@ -136,17 +136,17 @@
         streaming: bool,
         resumable: bool,
     ) -> None:
-        """Describe a route.
+        """Create a route.
 
-        :param name: its name.
-        :param host: host that requests name, in lower case.
-        :param path_prefix: beginning of their path.
-        :param pools: where they go.
+        :param name: name of the route.
+        :param host: requested host, in lower case.
+        :param path_prefix: prefix of the requested path.
+        :param pools: pools that serve the requests.
         :param tier: priority, 0 is the highest.
-        :param target: what on time means.
-        :param timeout_ms: when a caller is answered at the latest.
-        :param max_attempts: endpoints that one request may be sent to.
-        :param public: whether it needs no API key.
+        :param target: target times of answers.
+        :param timeout_ms: maximum time to the final answer.
+        :param max_attempts: maximum number of endpoints per request.
+        :param public: whether requests need no API key.
         :param repeatable: whether a second run does no harm.
         :param streaming: whether answers are event streams.
         :param resumable: whether another endpoint may continue a stream.
@@ -172,7 +172,7 @@
 
 @final
 class GatewayCustomer:
-    """A customer as a gateway knows it."""
+    """Customer in the configuration of a gateway."""
 
     __slots__ = ('key_hashes', 'name', 'tier')
 
@@ -183,11 +183,11 @@
         key_hashes: tuple[str, ...],
         tier: int | None,
     ) -> None:
-        """Describe a customer.
+        """Create a customer.
 
-        :param name: its name.
+        :param name: name of the customer.
         :param key_hashes: SHA-256 of each API key, in hex.
-        :param tier: its own priority, 0 the highest, if any.
+        :param tier: priority of the customer, 0 the highest, if any.
         """
         self.name = name
         self.key_hashes = key_hashes
@@ -196,7 +196,7 @@
 
 @final
 class Routes:
-    """One version of the configuration, indexed for look-ups."""
+    """Version of the configuration, indexed for lookups."""
 
     __slots__ = (
         '_by_host',
@@ -221,11 +221,11 @@
     ) -> None:
         """Index a configuration.
 
-        :param version: its version; a higher one replaces a lower one.
+        :param version: version number; higher versions replace lower ones.
         :param routes: all routes.
         :param pools: all pools.
-        :param customers: all customers; none means that no key is asked.
-        :param limits: bounds for callers.
+        :param customers: all customers; if empty, no API key is required.
+        :param limits: limits for callers.
         """
         self.version = version
         self.routes = routes
@@ -244,21 +244,21 @@
 
     @property
     def shortest_gaps_ms(self) -> dict[str, int]:
-        """The shortest token gap in milliseconds that is asked of each pool."""
+        """Shortest target token gap of each pool, in milliseconds."""
         shortest: dict[str, int] = {}
         for route in self.routes:
             gap_ms = route.target.token_gap_ms
             for entry in route.pools if gap_ms else ():
-                known_ms = shortest.get(entry.pool, gap_ms)
-                shortest[entry.pool] = min(known_ms, gap_ms)
+                shortest_ms = shortest.get(entry.pool, gap_ms)
+                shortest[entry.pool] = min(shortest_ms, gap_ms)
         return shortest
 
     def find_route(self, host: str, path: str) -> Route | None:
         """Find the route of a request.
 
-        :param host: host that the request names, without a port.
-        :param path: its path without the query.
-        :returns: the route with the longest prefix that fits, if any.
+        :param host: requested host, without a port.
+        :param path: requested path without the query.
+        :returns: the route with the longest matching prefix, if any.
         """
         for route in self._by_host.get(host.lower(), ()):
             if path.startswith(route.path_prefix):
@@ -266,18 +266,18 @@
         return None
 
     def tiers_of(self, pool: str) -> tuple[int, ...]:
-        """Tell the tiers whose requests go to a pool.
+        """Return the tiers of the routes to a pool.
 
-        :param pool: its name.
-        :returns: the tiers, the one that goes before all others first.
+        :param pool: name of the pool.
+        :returns: the tiers, the highest priority first.
         """
         return self._tiers.get(pool, (0,))
 
     def find_customer(self, key: str) -> GatewayCustomer | None:
-        """Find who holds an API key.
+        """Find the customer with an API key.
 
-        :param key: the key as the caller sent it.
-        :returns: its customer, if any.
+        :param key: the key as received.
+        :returns: the customer, if any.
         """
         return self._by_key.get(hash_key(key))
 
@@ -296,7 +296,7 @@
     for route in routes:
         for entry in route.pools:
             tiers.setdefault(entry.pool, set()).add(route.tier)
-    return {pool: tuple(sorted(known)) for pool, known in tiers.items()}
+    return {pool: tuple(sorted(each)) for pool, each in tiers.items()}
 
 
 def _prefix_length(route: Route) -> int:
