--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -86,7 +86,9 @@
 def test_callers_cannot_set_what_is_the_gateways(name: bytes):
     swapped_case = (name.swapcase(), b'theirs')
     received = sent_headers(
-        (name, b'theirs'), swapped_case, (name.upper(), b'theirs')
+        (name, b'theirs'),
+        swapped_case,
+        (name.upper(), b'theirs'),
     )
     assert b'theirs' not in received.get(name.lower(), [])
 
--- a/wingfall/gateway/model/endpoint_limit.py
+++ b/wingfall/gateway/model/endpoint_limit.py
@@ -41,7 +41,8 @@
 
 
 def choose_newer(
-    current: EndpointLimit, update: EndpointLimit
+    current: EndpointLimit,
+    update: EndpointLimit,
 ) -> EndpointLimit:
     """Return the limit of an endpoint that applies after an update.
 
