--- a/wingfall/gateway/model/duty.py
+++ b/wingfall/gateway/model/duty.py
@@ -111,7 +111,7 @@
     """Read the lease from its stored object.
 
     :param spec: spec of the object, of any form since others may write it.
-    :returns: the lease, with ``known`` False if the spec is invalid.
+    :returns: the lease, marked as not known if the spec is invalid.
     """
     try:
         return LeaseRecord(
