--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -196,7 +196,7 @@
                 clock=world.clock,
                 lease_ms=LEASE_MS,
                 new_ms=0,
-                look=self._snapshot_peers,
+                snapshot_peers=self._snapshot_peers,
                 is_stopping=lambda: self.is_stopped,
             ),
             counts=self.counts,
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -45,7 +45,7 @@
         clock=clock,
         lease_ms=LEASE_MS,
         new_ms=NEW_MS,
-        look=peers.snapshot,
+        snapshot_peers=peers.snapshot,
         is_stopping=lambda: peers.is_stopping,
     )
     clock.advance(NEW_MS)
@@ -82,7 +82,7 @@
         clock=clock,
         lease_ms=LEASE_MS,
         new_ms=NEW_MS,
-        look=peers.snapshot,
+        snapshot_peers=peers.snapshot,
         is_stopping=bool,
     )
     clock.advance(LEASE_MS)
@@ -131,7 +131,7 @@
         clock=clock,
         lease_ms=1200,
         new_ms=NEW_MS,
-        look=peers.snapshot,
+        snapshot_peers=peers.snapshot,
         is_stopping=bool,
     )
     assert not policy.replaces(HELD_LEASE, 2499, decided=False)
--- a/wingfall/gateway/duties/assembly.py
+++ b/wingfall/gateway/duties/assembly.py
@@ -85,7 +85,7 @@
                 clock=clock,
                 lease_ms=duty_settings.lease_ms,
                 new_ms=_WARMUP_WINDOWS * window_ms,
-                look=look,
+                snapshot_peers=look,
                 is_stopping=is_stopping,
             ),
             'counts': self.counts,
--- a/wingfall/gateway/duties/standing.py
+++ b/wingfall/gateway/duties/standing.py
@@ -92,7 +92,7 @@
         clock: Clock,
         lease_ms: int,
         new_ms: int,
-        look: Callable[[], Peering],
+        snapshot_peers: Callable[[], Peering],
         is_stopping: Callable[[], bool],
     ) -> None:
         """Initialize the policy at the start of the process.
@@ -100,7 +100,7 @@
         :param clock: the monotonic clock.
         :param lease_ms: length of the lease in milliseconds.
         :param new_ms: milliseconds for which a gateway counts as new.
-        :param look: returns a snapshot of the other gateways.
+        :param snapshot_peers: returns a snapshot of the other gateways.
         :param is_stopping: whether a planned stop has begun.
         """
         self._clock = clock
@@ -109,7 +109,7 @@
         # take the lease from each other endlessly, and none would act.
         self._holder_timeout_ms = max(lease_ms, HEARD_MS + _HOLDER_ACT_MS)
         self._warmup_ms = new_ms
-        self._snapshot_peers = look
+        self._snapshot_peers = snapshot_peers
         self._is_stopping = is_stopping
         self._started_ms = clock.now_ms()
         self._polled_ms: float = float('-inf')
