--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -195,7 +195,7 @@
             standing=Standing(
                 clock=world.clock,
                 lease_ms=LEASE_MS,
-                new_ms=0,
+                warmup_ms=0,
                 snapshot_peers=self._snapshot_peers,
                 is_stopping=lambda: self.is_stopped,
             ),
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -44,7 +44,7 @@
     created = Standing(
         clock=clock,
         lease_ms=LEASE_MS,
-        new_ms=NEW_MS,
+        warmup_ms=NEW_MS,
         snapshot_peers=peers.snapshot,
         is_stopping=lambda: peers.is_stopping,
     )
@@ -81,7 +81,7 @@
     policy = Standing(
         clock=clock,
         lease_ms=LEASE_MS,
-        new_ms=NEW_MS,
+        warmup_ms=NEW_MS,
         snapshot_peers=peers.snapshot,
         is_stopping=bool,
     )
@@ -130,7 +130,7 @@
     policy = Standing(
         clock=clock,
         lease_ms=1200,
-        new_ms=NEW_MS,
+        warmup_ms=NEW_MS,
         snapshot_peers=peers.snapshot,
         is_stopping=bool,
     )
--- a/wingfall/gateway/duties/assembly.py
+++ b/wingfall/gateway/duties/assembly.py
@@ -84,7 +84,7 @@
             'standing': Standing(
                 clock=clock,
                 lease_ms=duty_settings.lease_ms,
-                new_ms=_WARMUP_WINDOWS * window_ms,
+                warmup_ms=_WARMUP_WINDOWS * window_ms,
                 snapshot_peers=look,
                 is_stopping=is_stopping,
             ),
--- a/wingfall/gateway/duties/standing.py
+++ b/wingfall/gateway/duties/standing.py
@@ -91,7 +91,7 @@
         *,
         clock: Clock,
         lease_ms: int,
-        new_ms: int,
+        warmup_ms: int,
         snapshot_peers: Callable[[], Peering],
         is_stopping: Callable[[], bool],
     ) -> None:
@@ -99,7 +99,7 @@
 
         :param clock: the monotonic clock.
         :param lease_ms: length of the lease in milliseconds.
-        :param new_ms: milliseconds for which a gateway counts as new.
+        :param warmup_ms: milliseconds for which a gateway counts as new.
         :param snapshot_peers: returns a snapshot of the other gateways.
         :param is_stopping: whether a planned stop has begun.
         """
@@ -108,7 +108,7 @@
         # Longer than any holder needs until it acts; otherwise gateways would
         # take the lease from each other endlessly, and none would act.
         self._holder_timeout_ms = max(lease_ms, HEARD_MS + _HOLDER_ACT_MS)
-        self._warmup_ms = new_ms
+        self._warmup_ms = warmup_ms
         self._snapshot_peers = snapshot_peers
         self._is_stopping = is_stopping
         self._started_ms = clock.now_ms()
