--- a/wingfall/gateway/application.py
+++ b/wingfall/gateway/application.py
@@ -251,7 +251,7 @@
             clock=self._clock,
             metrics=self._metrics,
             binding=self._state.binding,
-            look=lambda: self._peers.view.snapshot(),
+            snapshot_peers=lambda: self._peers.view.snapshot(),
             is_stopping=lambda: self._state.draining,
         )
         self._state.usage = duties.counts
--- a/wingfall/gateway/duties/assembly.py
+++ b/wingfall/gateway/duties/assembly.py
@@ -51,7 +51,7 @@
         clock: Clock,
         metrics: Metrics,
         binding: Binding,
-        look: Callable[[], Peering],
+        snapshot_peers: Callable[[], Peering],
         is_stopping: Callable[[], bool],
     ) -> None:
         """Create the duties without running any of them.
@@ -60,7 +60,7 @@
         :param clock: the monotonic clock.
         :param metrics: the metrics of the gateway.
         :param binding: the binding to the platform.
-        :param look: returns a snapshot of the other gateways.
+        :param snapshot_peers: returns a snapshot of the other gateways.
         :param is_stopping: whether a planned stop has begun.
         """
         duty_settings = settings.duties
@@ -85,7 +85,7 @@
                 clock=clock,
                 lease_ms=duty_settings.lease_ms,
                 warmup_ms=_WARMUP_WINDOWS * window_ms,
-                snapshot_peers=look,
+                snapshot_peers=snapshot_peers,
                 is_stopping=is_stopping,
             ),
             'counts': self.counts,
