--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -107,19 +107,19 @@
     # Seeds stay known after they have ended.
     peers.fields['heard'] = frozenset()
     assert required_wait_ms(policy) == 3000
-    assert policy.replaces(HELD_LEASE, 0, decided=False)
+    assert policy.should_take_over(HELD_LEASE, 0, decided=False)
 
 
 def test_gateway_that_is_cut_off_leaves_the_holder_alone(
     policy: Standing, peers: FakePeers
 ):
     peers.fields['heard'] = frozenset()
-    assert not policy.replaces(HELD_LEASE, 20_000, decided=True)
+    assert not policy.should_take_over(HELD_LEASE, 20_000, decided=True)
 
 
 def test_holder_that_is_heard_has_a_lease_of_time(policy: Standing):
-    assert not policy.replaces(HELD_LEASE, LEASE_MS - 1, decided=False)
-    assert policy.replaces(HELD_LEASE, LEASE_MS, decided=False)
+    assert not policy.should_take_over(HELD_LEASE, LEASE_MS - 1, decided=False)
+    assert policy.should_take_over(HELD_LEASE, LEASE_MS, decided=False)
 
 
 def test_holder_of_a_short_lease_has_time_to_hear_counts(
@@ -134,11 +134,11 @@
         snapshot_peers=peers.snapshot,
         is_stopping=bool,
     )
-    assert not policy.replaces(HELD_LEASE, 2499, decided=False)
-    assert policy.replaces(HELD_LEASE, 2500, decided=False)
+    assert not policy.should_take_over(HELD_LEASE, 2499, decided=False)
+    assert policy.should_take_over(HELD_LEASE, 2500, decided=False)
 
 
 def test_holder_that_is_gone_is_replaced_at_once(policy: Standing):
     disconnected = LeaseRecord(holder='d/1', name='d')
-    assert policy.replaces(disconnected, 0, decided=True)
-    assert policy.replaces(LeaseRecord(), 0, decided=False)
+    assert policy.should_take_over(disconnected, 0, decided=True)
+    assert policy.should_take_over(LeaseRecord(), 0, decided=False)
--- a/wingfall/gateway/duties/standing.py
+++ b/wingfall/gateway/duties/standing.py
@@ -139,7 +139,7 @@
         self._polled_ms = now_ms
         return True
 
-    def replaces(
+    def should_take_over(
         self,
         record: LeaseRecord,
         unchanged_ms: float,
--- a/wingfall/gateway/duties/usage_duty.py
+++ b/wingfall/gateway/duties/usage_duty.py
@@ -122,7 +122,7 @@
             # The holder delivered this window before it decided later ones.
             self._counts.delivered_window = window
             return False
-        if not self._takeover_policy.replaces(
+        if not self._takeover_policy.should_take_over(
             record, unchanged_ms, decided=decided
         ):
             return False
