--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -182,13 +182,13 @@
     holder.step()
     acted_ms = world.platform.acts[-1][0]
     other.lease.refresh()
-    assert other.lease.take(decided=0)
+    assert other.lease.acquire(decided=0)
     world.clock.advance(LEASE_MS * 2 // 3)
     other.step()
     assert world.platform.acts[-1][1] == other.name
     other.lease.give_back()
     holder.lease.refresh()
-    assert holder.lease.take(decided=0)
+    assert holder.lease.acquire(decided=0)
     assert holder.lease.act_ms == 0
     world.clock.advance(acted_ms + LEASE_MS - world.clock.now_ms() + 10)
     assert holder.lease.ready
--- a/wingfall/gateway/duties/lease.py
+++ b/wingfall/gateway/duties/lease.py
@@ -161,7 +161,7 @@
         self._apply_stored(answer.unwrap(), sent_ms)
         return True
 
-    def take(self, decided: int) -> bool:
+    def acquire(self, decided: int) -> bool:
         """Try to acquire the lease on condition of the last read revision.
 
         :param decided: the last window that may have been decided, used if the
--- a/wingfall/gateway/duties/usage_duty.py
+++ b/wingfall/gateway/duties/usage_duty.py
@@ -126,7 +126,7 @@
             record, unchanged_ms, decided=decided
         ):
             return False
-        return self._lease.take(decided=self._counts.window - 1)
+        return self._lease.acquire(decided=self._counts.window - 1)
 
     def _report(self, due: list[int]) -> None:
         if not self._lease.ready:
