--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -232,7 +232,7 @@
     def stop(self) -> None:
         """Release the lease, as in a planned stop."""
         self.is_stopped = True
-        self._run(self.lease.give_back)
+        self._run(self.lease.release)
 
     def _run(self, action: Callable[[], None]) -> None:
         if self.is_busy:
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -186,7 +186,7 @@
     world.clock.advance(LEASE_MS * 2 // 3)
     other.step()
     assert world.platform.acts[-1][1] == other.name
-    other.lease.give_back()
+    other.lease.release()
     holder.lease.refresh()
     assert holder.lease.acquire(decided=0)
     assert holder.lease.act_ms == 0
--- a/wingfall/gateway/duties/assembly.py
+++ b/wingfall/gateway/duties/assembly.py
@@ -116,7 +116,7 @@
             for duty in self._duties:
                 duty.step()
             stop.wait(_STEP_INTERVAL_MS / MS_PER_S)
-        self.lease.give_back()
+        self.lease.release()
 
     def status(self) -> dict[str, Any]:
         """Return the state of the duties.
--- a/wingfall/gateway/duties/lease.py
+++ b/wingfall/gateway/duties/lease.py
@@ -204,7 +204,7 @@
             ),
         )
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Release the lease so that the next holder need not wait."""
         if not self.held:
             return
