--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -90,7 +90,7 @@
     follower = next(each for each in world.gateways if each is not holder)
     world.clock.advance(WINDOW_MS)
     follower.step()
-    assert follower.lease.ready
+    assert follower.lease.can_act
     assert world.platform.acts[-1][1] == holder.name
     # Counts that a peer sends once it knows the new holder.
     follower.counts.merge_reported(
@@ -142,7 +142,7 @@
     world.during_calls = [do_nothing, do_nothing, other.step]
     holder.step()
     assert other.lease.held
-    assert not other.lease.ready
+    assert not other.lease.can_act
     run_for(world, WINDOW_MS)
     assert world.platform.acts[-1][1] == other.name
     assert not world.platform.violations
@@ -191,7 +191,7 @@
     assert holder.lease.acquire(decided=0)
     assert holder.lease.act_ms == 0
     world.clock.advance(acted_ms + LEASE_MS - world.clock.now_ms() + 10)
-    assert holder.lease.ready
+    assert holder.lease.can_act
 
 
 def test_process_that_has_started_stands_after_a_whole_lease(
--- a/wingfall/gateway/duties/lease.py
+++ b/wingfall/gateway/duties/lease.py
@@ -113,7 +113,7 @@
         return bool(self._token)
 
     @property
-    def ready(self) -> bool:
+    def can_act(self) -> bool:
         """Whether all earlier holders have certainly stopped acting."""
         return self.held and self._clock.now_ms() >= self._not_before_ms
 
--- a/wingfall/gateway/duties/usage_duty.py
+++ b/wingfall/gateway/duties/usage_duty.py
@@ -129,7 +129,7 @@
         return self._lease.acquire(decided=self._counts.window - 1)
 
     def _report(self, due: list[int]) -> None:
-        if not self._lease.ready:
+        if not self._lease.can_act:
             return
         if self._decide(due):
             for window in due:
