--- a/standins/object_store.py
+++ b/standins/object_store.py
@@ -5,7 +5,7 @@
 "page": N}``: a status for all calls, how late it answers, how many objects a
 page holds. ``{"forget": 1}`` forgets the history, so that a watch from before
 gets 410. ``{"lose_answers": N}`` lets writes take effect whose answers never
-come, ``{"late_ms": N}`` has them take effect so much later.
+come, ``{"deadline_ms": N}`` has them take effect so much later.
 """
 
 from __future__ import annotations
--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -190,7 +190,7 @@
         time = TrueTime(clock=world.clock, wall=world.clock)
         self.counts = UsageCounts(time=time, window_ms=WINDOW_MS)
         self.duty = UsageDuty(
-            terms=DutyTerms(window_ms=WINDOW_MS, late_ms=LATE_MS),
+            terms=DutyTerms(window_ms=WINDOW_MS, deadline_ms=LATE_MS),
             lease=self.lease,
             standing=Standing(
                 clock=world.clock,
--- a/wingfall/gateway/duties/assembly.py
+++ b/wingfall/gateway/duties/assembly.py
@@ -78,7 +78,7 @@
         shared: dict[str, Any] = {
             'terms': DutyTerms(
                 window_ms=window_ms,
-                late_ms=int(duty_settings.late_s * MS_PER_S),
+                deadline_ms=int(duty_settings.late_s * MS_PER_S),
             ),
             'lease': self.lease,
             'standing': Standing(
--- a/wingfall/gateway/duties/duty.py
+++ b/wingfall/gateway/duties/duty.py
@@ -19,17 +19,17 @@
 class DutyTerms:
     """The window length and deadline of reports, from the settings."""
 
-    __slots__ = ('late_ms', 'window_ms')
+    __slots__ = ('deadline_ms', 'window_ms')
 
-    def __init__(self, *, window_ms: int, late_ms: int) -> None:
+    def __init__(self, *, window_ms: int, deadline_ms: int) -> None:
         """Initialize the terms.
 
         :param window_ms: length of a window in milliseconds.
-        :param late_ms: milliseconds after the end of a window from which
+        :param deadline_ms: milliseconds after the end of a window from which
             its report is ignored.
         """
         self.window_ms = window_ms
-        self.late_ms = late_ms
+        self.deadline_ms = deadline_ms
 
 
 class Duty(Protocol):
--- a/wingfall/gateway/duties/usage_duty.py
+++ b/wingfall/gateway/duties/usage_duty.py
@@ -89,7 +89,7 @@
 
     def _skip_late(self) -> None:
         late_window = self._counts.next_window
-        while self._counts.ms_since_end(late_window) > self._terms.late_ms:
+        while self._counts.ms_since_end(late_window) > self._terms.deadline_ms:
             log_event(
                 'usage',
                 'A window was not reported in time.',
