--- a/tests/test_gateway_load.py
+++ b/tests/test_gateway_load.py
@@ -196,10 +196,10 @@
     replica = make_replica([])
     replica.apply_changes(reading(5, stored('a', 5), stored('b', 4)))
     replica.apply_changes(reading(8, stored('a', 5, gone=True)))
-    (changed,) = replica.since(5)
+    (changed,) = replica.objects_since(5)
     assert changed.spec is None
     other = make_replica([])
-    assert other.catch_up(reading(8, *replica.since(0))) == 2
+    assert other.catch_up(reading(8, *replica.objects_since(0))) == 2
     assert other.revision == 8
 
 
--- a/tests/test_object_exchange.py
+++ b/tests/test_object_exchange.py
@@ -117,7 +117,7 @@
         local_peers[0], local_peers[1].connection.sent[0]
     )
     assert gateway.replica.revision == 5
-    assert gateway.replica.since(0)[0].spec == {}
+    assert gateway.replica.objects_since(0)[0].spec == {}
     gateway.receive_revision(local_peers[2], 6)
     gateway.clock.advance(300)
     gateway.receive_revision(local_peers[2], 6)
@@ -181,7 +181,7 @@
         assert len(page.chunk) <= CHUNK_BYTES
     assert chunks >= 2
     assert count_fetches(transfer.to_ahead) == chunks
-    assert transfer.behind.replica.since(4)[0].spec == (
+    assert transfer.behind.replica.objects_since(4)[0].spec == (
         long_store_reading(5).objects[0].spec
     )
     assert not transfer.to_behind.outgoing_transfers
@@ -275,5 +275,5 @@
 def test_deleted_object_is_sent_whatever_its_revision():
     ahead = _Gateway(revision=5)
     ahead.replica.apply_list(StoreReading(revision=9, objects=[]))
-    (gone,) = ahead.replica.since(7)
+    (gone,) = ahead.replica.objects_since(7)
     assert gone.spec is None
--- a/tests/test_stored_objects.py
+++ b/tests/test_stored_objects.py
@@ -120,9 +120,9 @@
     )
     replica.apply_list(reading)
     # A peer would be sent the same objects.
-    received = unpack_objects(pack_objects(replica.since(0)))
+    received = unpack_objects(pack_objects(replica.objects_since(0)))
     assert [each.name for each in received] == [
-        each.name for each in replica.since(0)
+        each.name for each in replica.objects_since(0)
     ]
     return [each.name for each in state.knowledge.table.usable('plain')]
 
--- a/wingfall/gateway/configuration/replica.py
+++ b/wingfall/gateway/configuration/replica.py
@@ -100,7 +100,7 @@
         self.revision = max(self.revision, reading.revision)
         return self.apply_changes(reading)
 
-    def since(self, revision: int) -> list[StoredObject]:
+    def objects_since(self, revision: int) -> list[StoredObject]:
         """Return the objects that changed after a revision, for a peer.
 
         :param revision: revision up to which the peer is complete.
--- a/wingfall/gateway/peers/objects/object_exchange.py
+++ b/wingfall/gateway/peers/objects/object_exchange.py
@@ -149,7 +149,7 @@
             return
         objects = [
             [each.name, each.revision, encode_spec(each)]
-            for each in replica.since(fetch.revision)
+            for each in replica.objects_since(fetch.revision)
         ]
         page = ObjectsPage(
             kind=fetch.kind,
@@ -202,7 +202,7 @@
     ) -> None:
         kind = fetch.kind
         if not fetch.offset:
-            changed = replica.since(fetch.revision)
+            changed = replica.objects_since(fetch.revision)
             session.outgoing_transfers[kind] = OutgoingTransfer(
                 revision=replica.revision,
                 packed=self._pack(kind, changed),
