--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -215,7 +215,7 @@
 @pytest.mark.parametrize('spec', [None, 7, {}, {'holder': 'x'}, 'text'])
 def test_what_is_no_lease_is_held_by_nobody_that_acts(spec: object):
     record = read_lease_record(spec)
-    assert not record.given_back
+    assert not record.is_released
     assert not record.reports
 
 
--- a/wingfall/gateway/duties/lease.py
+++ b/wingfall/gateway/duties/lease.py
@@ -182,7 +182,7 @@
             'The lease was taken.',
             token=self._token,
             before=before.name,
-            given_back=before.given_back,
+            given_back=before.is_released,
             wait_ms=max(0, int(self._not_before_ms - self._clock.now_ms())),
         )
         return True
@@ -262,7 +262,7 @@
         # returning holder waits a whole lease after its own last act, since
         # another gateway may have acted in between.
         handover_ms = self._lease_ms * 2 // _ACT_DIVISOR
-        if before.given_back:
+        if before.is_released:
             handover_ms = 0
         return max(
             self._clock.now_ms() + handover_ms,
--- a/wingfall/gateway/model/duty.py
+++ b/wingfall/gateway/model/duty.py
@@ -87,7 +87,7 @@
         }
 
     @property
-    def given_back(self) -> bool:
+    def is_released(self) -> bool:
         """Whether the last holder released the lease."""
         return self.known and not self.holder
 
