--- a/wingfall/gateway/duties/lease.py
+++ b/wingfall/gateway/duties/lease.py
@@ -88,7 +88,7 @@
         self._store = store
         self._lease_ms = lease_ms
         # The lease as last read or written.
-        self.record = LeaseRecord(known=False)
+        self.record = LeaseRecord(is_known=False)
         self._revision: int | None = None
         # When a read or write first returned this revision.
         self._revision_seen_ms: float = _NEVER
@@ -172,7 +172,7 @@
         record = LeaseRecord(
             holder=self._holder,
             name=self._name,
-            decided=before.decided if before.known else decided,
+            decided=before.decided if before.is_known else decided,
             reports=before.reports,
         )
         if not self._write(record):
--- a/wingfall/gateway/model/duty.py
+++ b/wingfall/gateway/model/duty.py
@@ -53,7 +53,7 @@
 class LeaseRecord:
     """Lease of the duties as stored by the platform."""
 
-    __slots__ = ('decided', 'holder', 'known', 'name', 'reports', 'token')
+    __slots__ = ('decided', 'holder', 'is_known', 'name', 'reports', 'token')
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         token: int = 0,
         decided: int = 0,
         reports: Mapping[int, Mapping[str, int]] | None = None,
-        known: bool = True,
+        is_known: bool = True,
     ) -> None:
         """Create the record of a lease.
 
@@ -74,14 +74,14 @@
         :param decided: number of the last window whose report is final.
         :param reports: final reports that may be undelivered, by window; only
             these counts are ever sent for their windows.
-        :param known: False if the store has no readable lease, so that its
+        :param is_known: False if the store has no readable lease, so that its
             last holder and the final reports are unknown.
         """
         self.holder = holder
         self.name = name
         self.token = token
         self.decided = decided
-        self.known = known
+        self.is_known = is_known
         self.reports = {
             window: dict(counts) for window, counts in (reports or {}).items()
         }
@@ -89,7 +89,7 @@
     @property
     def is_released(self) -> bool:
         """Whether the last holder released the lease."""
-        return self.known and not self.holder
+        return self.is_known and not self.holder
 
     def to_spec(self) -> dict[str, Any]:
         """Return the lease as the spec of a stored object.
@@ -125,7 +125,7 @@
             },
         )
     except (TypeError, KeyError, ValueError, AttributeError):
-        return LeaseRecord(known=False)
+        return LeaseRecord(is_known=False)
 
 
 def _read_counts(counts: Mapping[str, Any]) -> dict[str, int]:
