--- a/wingfall/gateway/calls/attempt_tracker.py
+++ b/wingfall/gateway/calls/attempt_tracker.py
@@ -147,9 +147,9 @@
     def _note_usage(self, started_ms: int) -> None:
         # A call counts once, even if several endpoints run it.
         call, usage = self._call, self._state.usage
-        if usage is None or call.begun or call.customer is None:
+        if usage is None or call.run_started or call.customer is None:
             return
-        call.begun = True
+        call.run_started = True
         usage.note(call.customer.name, started_ms)
 
     def _note_crash_evidence(self, outcome: AttemptOutcome) -> None:
--- a/wingfall/gateway/model/call.py
+++ b/wingfall/gateway/model/call.py
@@ -79,7 +79,7 @@
     __slots__ = (
         'arrived_ms',
         'asked',
-        'begun',
+        'run_started',
         'body',
         'customer',
         'deadline_ms',
@@ -123,7 +123,7 @@
         self.fingerprint = fingerprint
         self.priority = route.tier if priority is None else priority
         # Whether an endpoint is known to have started the run.
-        self.begun = False
+        self.run_started = False
         # Whether the work was counted in its customer's demand.
         self.asked = False
 
