--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -70,6 +70,6 @@
     reader.add(b'one')
     reader.add(b'two')
     body = reader.finish()
-    assert body.whole == b'onetwo'
+    assert body.payload == b'onetwo'
     assert body.digest == hashlib.blake2b(b'onetwo', digest_size=16).digest()
     assert reader.size == 6
--- a/wingfall/gateway/calls/intake.py
+++ b/wingfall/gateway/calls/intake.py
@@ -75,7 +75,7 @@
     return Success(
         Call(
             head=head,
-            body=body.whole,
+            body=body.payload,
             route=route,
             customer=customer,
             arrived_ms=arrived_ms,
--- a/wingfall/gateway/model/request_body.py
+++ b/wingfall/gateway/model/request_body.py
@@ -17,15 +17,15 @@
 class RequestBody:
     """Complete body and its digest."""
 
-    __slots__ = ('digest', 'whole')
+    __slots__ = ('digest', 'payload')
 
-    def __init__(self, *, whole: bytes, digest: bytes) -> None:
+    def __init__(self, *, payload: bytes, digest: bytes) -> None:
         """Create a body.
 
-        :param whole: bytes of the body.
+        :param payload: bytes of the body.
         :param digest: digest of the body.
         """
-        self.whole = whole
+        self.payload = payload
         self.digest = digest
 
 
@@ -57,6 +57,6 @@
         :returns: the complete body.
         """
         return RequestBody(
-            whole=b''.join(self._chunks),
+            payload=b''.join(self._chunks),
             digest=self._hash.digest(),
         )
