--- a/tests/load_replay.py
+++ b/tests/load_replay.py
@@ -154,7 +154,7 @@
             for part in prompt.parts
             if part.part_id not in self.cached_parts
         )
-        self.cached_parts.update(part.part_id for part in prompt.shared)
+        self.cached_parts.update(part.part_id for part in prompt.shared_parts)
         begin_ms = max(now_ms, self._free_at_ms)
         self._free_at_ms = begin_ms + uncached / self._tokens_per_ms
         if uncached >= _CHUNK_TOKENS * _STEPS_PER_EVENT:
@@ -448,7 +448,7 @@
         note_given_work(call.gateway.state, call.call, to)
         sent = SentPrompt(
             endpoint=name,
-            parts=call.prompt.shared,
+            parts=call.prompt.shared_parts,
             uncached_tokens=uncached,
         )
         now_ms = self.clock.now_ms()
--- a/wingfall/gateway/calls/attempt_tracker.py
+++ b/wingfall/gateway/calls/attempt_tracker.py
@@ -183,7 +183,7 @@
         self._state.knowledge.caches.note_sent(
             SentPrompt(
                 endpoint=name,
-                parts=prompt.shared,
+                parts=prompt.shared_parts,
                 uncached_tokens=uncached_tokens,
             ),
             self._state.clock.now_ms() + prefill_timeout_ms,
--- a/wingfall/gateway/calls/destination.py
+++ b/wingfall/gateway/calls/destination.py
@@ -154,7 +154,7 @@
     cached, all_cached, memory_tokens = 0, 0, 0
     if prompt is not None:
         cache = knowledge.caches.find(endpoint.name)
-        cached = cache.cached_tokens(prompt.shared)
+        cached = cache.cached_tokens(prompt.shared_parts)
         all_cached = cache.tokens
         pool = _find_pool(state, endpoint.pool)
         memory_tokens = pool.memory_tokens if pool else 0
--- a/wingfall/gateway/calls/open_endpoints.py
+++ b/wingfall/gateway/calls/open_endpoints.py
@@ -37,7 +37,7 @@
     return Demand(
         is_prompt=True,
         tokens=prompt.tokens,
-        shared_tokens=sum(part.tokens for part in prompt.shared),
+        shared_tokens=sum(part.tokens for part in prompt.shared_parts),
         output_tokens=prompt.output_tokens,
         start_target_ms=target.first_token_ms,
         gap_target_ms=target.token_gap_ms,
--- a/wingfall/gateway/calls/shared_prefill_wait.py
+++ b/wingfall/gateway/calls/shared_prefill_wait.py
@@ -37,14 +37,14 @@
         return False
     began_ms = state.clock.now_ms()
     cache = state.knowledge.caches.find(destination.endpoint.name)
-    pending = cache.pending_prefill(prompt.shared, began_ms)
+    pending = cache.pending_prefill(prompt.shared_parts, began_ms)
     wait_ms = state.policies.shared_read(pending, call.deadline_ms - began_ms)
     if not wait_ms:
         return False
     until_ms = began_ms + wait_ms
     while state.clock.now_ms() < until_ms:
         gevent.sleep(_POLL_INTERVAL_MS / MS_PER_S)
-        if not cache.pending_prefill(prompt.shared, began_ms).tokens:
+        if not cache.pending_prefill(prompt.shared_parts, began_ms).tokens:
             break
     log_event(
         'dispatch',
--- a/wingfall/gateway/knowledge/prefix_caches.py
+++ b/wingfall/gateway/knowledge/prefix_caches.py
@@ -75,7 +75,7 @@
         :param prompt: the prompt to place.
         :returns: names of the engines.
         """
-        for part in reversed(prompt.shared):
+        for part in reversed(prompt.shared_parts):
             engines = self._index.engines(part.part_id)
             if engines:
                 return engines
@@ -105,7 +105,7 @@
         :param endpoint: name of the engine.
         :param prompt: the prompt that was prefilled.
         """
-        self.find(endpoint).confirm_prefill(prompt.shared)
+        self.find(endpoint).confirm_prefill(prompt.shared_parts)
 
     def drop_unconfirmed(self, endpoint: str, prompt: Prompt) -> None:
         """Remove the parts that an ended attempt didn't prefill.
@@ -113,7 +113,7 @@
         :param endpoint: name of the engine.
         :param prompt: the prompt of the attempt.
         """
-        self.find(endpoint).drop_unconfirmed(prompt.shared)
+        self.find(endpoint).drop_unconfirmed(prompt.shared_parts)
 
     def note_cached(self, endpoint: str, parts: tuple[PromptPart, ...]) -> None:
         """Record the parts that an engine reports, for peers as well.
--- a/wingfall/gateway/model/prompt.py
+++ b/wingfall/gateway/model/prompt.py
@@ -50,6 +50,6 @@
         return sum(part.tokens for part in self.parts)
 
     @property
-    def shared(self) -> tuple[PromptPart, ...]:
+    def shared_parts(self) -> tuple[PromptPart, ...]:
         """Parts that other prompts may share: all but the last."""
         return self.parts[:-1]
