--- a/wingfall/gateway/model/endpoint_crash.py
+++ b/wingfall/gateway/model/endpoint_crash.py
@@ -54,7 +54,7 @@
         """All requests that may have caused the crash."""
         return self.silent | self.streaming
 
-    def has(self, fingerprint: Fingerprint) -> bool:
+    def involves(self, fingerprint: Fingerprint) -> bool:
         """Check if a request ran at the endpoint.
 
         :param fingerprint: fingerprint of the request.
--- a/wingfall/gateway/rules/crashes/crash_evidence.py
+++ b/wingfall/gateway/rules/crashes/crash_evidence.py
@@ -178,7 +178,7 @@
     }
     for suspect, evidence in strongest.items():
         evidence.is_only_suspect = not any(
-            crash.has(other)
+            crash.involves(other)
             for crash in evidence.crashes
             for other in strongest.keys() - {suspect}
         )
@@ -251,5 +251,5 @@
     suspect: Fingerprint,
     concurrent: Sequence[EndpointCrash],
 ) -> bool:
-    present = sum(crash.has(suspect) for crash in concurrent)
+    present = sum(crash.involves(suspect) for crash in concurrent)
     return len(concurrent) - present >= present * _UNRELATED_RATIO
