--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -17,7 +17,7 @@
 from wingfall.errors import PlatformError
 from wingfall.gateway.duties.duty import DutyTerms
 from wingfall.gateway.duties.lease import Lease
-from wingfall.gateway.duties.standing import Peering, Standing
+from wingfall.gateway.duties.standing import Peering, TakeoverPolicy
 from wingfall.gateway.duties.usage_duty import UsageDuty
 from wingfall.gateway.knowledge.true_time import TrueTime
 from wingfall.gateway.knowledge.usage_counts import UsageCounts
@@ -192,7 +192,7 @@
         self.duty = UsageDuty(
             terms=DutyTerms(window_ms=WINDOW_MS, deadline_ms=LATE_MS),
             lease=self.lease,
-            standing=Standing(
+            standing=TakeoverPolicy(
                 clock=world.clock,
                 lease_ms=LEASE_MS,
                 warmup_ms=0,
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -5,7 +5,7 @@
 import pytest
 
 from wingfall.clock import ManualClock
-from wingfall.gateway.duties.standing import Peering, Standing
+from wingfall.gateway.duties.standing import Peering, TakeoverPolicy
 from wingfall.gateway.model.duty import LeaseRecord
 
 LEASE_MS = 3000
@@ -39,9 +39,9 @@
 
 
 @pytest.fixture
-def policy(clock: ManualClock, peers: FakePeers) -> Standing:
+def policy(clock: ManualClock, peers: FakePeers) -> TakeoverPolicy:
     """Return the policy of a gateway that no longer counts as new."""
-    created = Standing(
+    created = TakeoverPolicy(
         clock=clock,
         lease_ms=LEASE_MS,
         warmup_ms=NEW_MS,
@@ -52,7 +52,7 @@
     return created
 
 
-def required_wait_ms(policy: Standing) -> int:
+def required_wait_ms(policy: TakeoverPolicy) -> int:
     """Return for how long a report must be due before a takeover."""
     return next(
         waited_ms
@@ -61,16 +61,16 @@
     )
 
 
-def test_first_steps_in_at_once_if_no_holder_is_heard(policy: Standing):
+def test_first_steps_in_at_once_if_no_holder_is_heard(policy: TakeoverPolicy):
     assert required_wait_ms(policy) == 0
 
 
-def test_each_waits_for_those_before_it(policy: Standing, peers: FakePeers):
+def test_each_waits_for_those_before_it(policy: TakeoverPolicy, peers: FakePeers):
     peers.fields['before'] = 2
     assert required_wait_ms(policy) == 600
 
 
-def test_holder_that_is_heard_is_waited_for(policy: Standing, peers: FakePeers):
+def test_holder_that_is_heard_is_waited_for(policy: TakeoverPolicy, peers: FakePeers):
     peers.fields['holder_heard'] = True
     assert required_wait_ms(policy) == 1500
 
@@ -78,7 +78,7 @@
 def test_one_that_has_just_started_goes_behind_others(
     clock: ManualClock, peers: FakePeers
 ):
-    policy = Standing(
+    policy = TakeoverPolicy(
         clock=clock,
         lease_ms=LEASE_MS,
         warmup_ms=NEW_MS,
@@ -91,19 +91,19 @@
     assert required_wait_ms(policy) == 900
 
 
-def test_one_that_stops_does_not_stand(policy: Standing, peers: FakePeers):
+def test_one_that_stops_does_not_stand(policy: TakeoverPolicy, peers: FakePeers):
     peers.is_stopping = True
     assert not policy.steps_in(20_000)
 
 
-def test_looks_are_half_a_second_apart(clock: ManualClock, policy: Standing):
+def test_looks_are_half_a_second_apart(clock: ManualClock, policy: TakeoverPolicy):
     assert policy.steps_in(1000)
     assert not policy.steps_in(1000)
     clock.advance(500)
     assert policy.steps_in(1000)
 
 
-def test_last_gateway_that_is_left_stands(policy: Standing, peers: FakePeers):
+def test_last_gateway_that_is_left_stands(policy: TakeoverPolicy, peers: FakePeers):
     # Seeds stay known after they have ended.
     peers.fields['heard'] = frozenset()
     assert required_wait_ms(policy) == 3000
@@ -111,13 +111,13 @@
 
 
 def test_gateway_that_is_cut_off_leaves_the_holder_alone(
-    policy: Standing, peers: FakePeers
+    policy: TakeoverPolicy, peers: FakePeers
 ):
     peers.fields['heard'] = frozenset()
     assert not policy.should_take_over(HELD_LEASE, 20_000, decided=True)
 
 
-def test_holder_that_is_heard_has_a_lease_of_time(policy: Standing):
+def test_holder_that_is_heard_has_a_lease_of_time(policy: TakeoverPolicy):
     assert not policy.should_take_over(HELD_LEASE, LEASE_MS - 1, decided=False)
     assert policy.should_take_over(HELD_LEASE, LEASE_MS, decided=False)
 
@@ -127,7 +127,7 @@
 ):
     # Two gateways took a lease of 1.2 s from each other every 1.6 s, while a
     # holder waits 1.5 s for counts; no window was reported.
-    policy = Standing(
+    policy = TakeoverPolicy(
         clock=clock,
         lease_ms=1200,
         warmup_ms=NEW_MS,
@@ -138,7 +138,7 @@
     assert policy.should_take_over(HELD_LEASE, 2500, decided=False)
 
 
-def test_holder_that_is_gone_is_replaced_at_once(policy: Standing):
+def test_holder_that_is_gone_is_replaced_at_once(policy: TakeoverPolicy):
     disconnected = LeaseRecord(holder='d/1', name='d')
     assert policy.should_take_over(disconnected, 0, decided=True)
     assert policy.should_take_over(LeaseRecord(), 0, decided=False)
--- a/wingfall/gateway/duties/assembly.py
+++ b/wingfall/gateway/duties/assembly.py
@@ -11,7 +11,7 @@
 from wingfall.gateway.duties import usage_duty
 from wingfall.gateway.duties.duty import DutyTerms, duties
 from wingfall.gateway.duties.lease import Lease
-from wingfall.gateway.duties.standing import Peering, Standing
+from wingfall.gateway.duties.standing import Peering, TakeoverPolicy
 from wingfall.gateway.knowledge.true_time import TrueTime
 from wingfall.gateway.knowledge.usage_counts import UsageCounts
 from wingfall.log import log_event
@@ -81,7 +81,7 @@
                 deadline_ms=int(duty_settings.late_s * MS_PER_S),
             ),
             'lease': self.lease,
-            'standing': Standing(
+            'standing': TakeoverPolicy(
                 clock=clock,
                 lease_ms=duty_settings.lease_ms,
                 warmup_ms=_WARMUP_WINDOWS * window_ms,
--- a/wingfall/gateway/duties/duty.py
+++ b/wingfall/gateway/duties/duty.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from wingfall.clock import Clock
     from wingfall.gateway.duties.lease import Lease
-    from wingfall.gateway.duties.standing import Standing
+    from wingfall.gateway.duties.standing import TakeoverPolicy
     from wingfall.gateway.knowledge.usage_counts import UsageCounts
     from wingfall.gateway.model.duty import DutyCalls
     from wingfall.metrics import Metrics
@@ -47,7 +47,7 @@
         *,
         terms: DutyTerms,
         lease: Lease,
-        standing: Standing,
+        standing: TakeoverPolicy,
         counts: UsageCounts,
         calls: DutyCalls,
         clock: Clock,
--- a/wingfall/gateway/duties/standing.py
+++ b/wingfall/gateway/duties/standing.py
@@ -72,7 +72,7 @@
 
 
 @final
-class Standing:
+class TakeoverPolicy:
     """The policy that decides when this gateway may take over the lease."""
 
     __slots__ = (
