--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -17,7 +17,7 @@
 from wingfall.errors import PlatformError
 from wingfall.gateway.duties.duty import DutyTerms
 from wingfall.gateway.duties.lease import Lease
-from wingfall.gateway.duties.standing import Peering, TakeoverPolicy
+from wingfall.gateway.duties.standing import PeerSnapshot, TakeoverPolicy
 from wingfall.gateway.duties.usage_duty import UsageDuty
 from wingfall.gateway.knowledge.true_time import TrueTime
 from wingfall.gateway.knowledge.usage_counts import UsageCounts
@@ -243,8 +243,8 @@
         action()
         self.is_busy = False
 
-    def _snapshot_peers(self) -> Peering:
-        return Peering(
+    def _snapshot_peers(self) -> PeerSnapshot:
+        return PeerSnapshot(
             before=self._position,
             heard=self._world.connected - {self.name},
             known=2,
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -5,7 +5,7 @@
 import pytest
 
 from wingfall.clock import ManualClock
-from wingfall.gateway.duties.standing import Peering, TakeoverPolicy
+from wingfall.gateway.duties.standing import PeerSnapshot, TakeoverPolicy
 from wingfall.gateway.model.duty import LeaseRecord
 
 LEASE_MS = 3000
@@ -27,9 +27,9 @@
         }
         self.is_stopping = False
 
-    def snapshot(self) -> Peering:
+    def snapshot(self) -> PeerSnapshot:
         """Return a snapshot of the peers."""
-        return Peering(**self.fields)
+        return PeerSnapshot(**self.fields)
 
 
 @pytest.fixture
--- a/wingfall/gateway/duties/standing.py
+++ b/wingfall/gateway/duties/standing.py
@@ -40,7 +40,7 @@
 
 
 @final
-class Peering:
+class PeerSnapshot:
     """A snapshot of the other gateways as seen by one gateway."""
 
     __slots__ = ('before', 'heard', 'holder_heard', 'known')
@@ -92,7 +92,7 @@
         clock: Clock,
         lease_ms: int,
         warmup_ms: int,
-        snapshot_peers: Callable[[], Peering],
+        snapshot_peers: Callable[[], PeerSnapshot],
         is_stopping: Callable[[], bool],
     ) -> None:
         """Initialize the policy at the start of the process.
--- a/wingfall/gateway/peers/peer_view.py
+++ b/wingfall/gateway/peers/peer_view.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, final
 
-from wingfall.gateway.duties.standing import Peering
+from wingfall.gateway.duties.standing import PeerSnapshot
 from wingfall.gateway.peers.heartbeat_schedule import max_seen_age_ms
 from wingfall.gateway.peers.watch_duty import (
     WATCHER_COUNT,
@@ -64,14 +64,14 @@
         within_ms = max_seen_age_ms(len(self._sessions))
         return len(self._preceding_peers(within_ms)) < WATCHER_COUNT
 
-    def snapshot(self) -> Peering:
+    def snapshot(self) -> PeerSnapshot:
         """Return a snapshot of the peers, for eligibility for the lease.
 
         :returns: preceding, connected and known peers, and whether a
             connected peer holds the lease.
         """
         within_ms = max_seen_age_ms(len(self._sessions))
-        return Peering(
+        return PeerSnapshot(
             before=len(self._preceding_peers(within_ms)),
             heard=frozenset(self._sessions),
             known=self._addresses.count,
