--- a/tests/test_gateway_follower.py
+++ b/tests/test_gateway_follower.py
@@ -16,7 +16,7 @@
 from wingfall.gateway.configuration.follower import (
     REST_MS,
     StoreFollower,
-    retry_ms,
+    retry_delay_ms,
 )
 from wingfall.gateway.configuration.replica import ROUTES_KIND, ObjectReplica
 from wingfall.gateway.model.object_store import StoredObject, StoreReading
@@ -143,10 +143,10 @@
 
 
 def test_lost_store_is_asked_often_by_those_that_lead_only():
-    assert retry_ms(200, leads=True) == 200
-    assert retry_ms(200, leads=False) == 200
-    assert retry_ms(4000, leads=True) == 800
-    assert retry_ms(4000, leads=False) == 4000
+    assert retry_delay_ms(200, leads=True) == 200
+    assert retry_delay_ms(200, leads=False) == 200
+    assert retry_delay_ms(4000, leads=True) == 800
+    assert retry_delay_ms(4000, leads=False) == 4000
 
 
 def test_store_that_was_lost_is_found_again(site: _FollowerSite):
