--- a/wingfall/gateway/configuration/replica.py
+++ b/wingfall/gateway/configuration/replica.py
@@ -19,7 +19,7 @@
 # a site in the seconds that a peer is behind.
 _MAX_TOMBSTONES: Final = 1000
 
-Listener = Callable[[str, Any], None]
+ChangeListener = Callable[[str, Any], None]
 
 
 @final
@@ -48,7 +48,7 @@
 
     __slots__ = ('_entries', '_tombstones', '_listener', 'kind', 'revision')
 
-    def __init__(self, *, kind: str, listener: Listener) -> None:
+    def __init__(self, *, kind: str, listener: ChangeListener) -> None:
         """Create an empty replica.
 
         :param kind: name of the kind in this product.
