--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from wingfall.gateway.model.binding import Sending
+from wingfall.gateway.model.binding import AttemptRequest
 from wingfall.gateway.model.call import Call
 from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 from wingfall.gateway.model.routes import (
@@ -65,7 +65,7 @@
     )
     attempt = {'endpoint': make_endpoint('e1'), 'time_left_ms': 900, **sending}
     received: dict[bytes, list[bytes]] = {}
-    for name, text in endpoint_headers(call, Sending(**attempt)):
+    for name, text in endpoint_headers(call, AttemptRequest(**attempt)):
         received.setdefault(name.lower(), []).append(text)
     return received
 
--- a/wingfall/gateway/calls/attempt.py
+++ b/wingfall/gateway/calls/attempt.py
@@ -26,7 +26,7 @@
 )
 from wingfall.gateway.endpoints.event_stream import EventSplitter
 from wingfall.gateway.model.attempt_end import AttemptEnd
-from wingfall.gateway.model.binding import Sending
+from wingfall.gateway.model.binding import AttemptRequest
 
 if TYPE_CHECKING:
     from wingfall.gateway.calls.destination import Destination
@@ -137,9 +137,9 @@
         response = connection.receive(limits.first_byte_ms - self._now_ms())
         return self._read_response(response, limits)
 
-    def _make_sending(self, limits: AttemptLimits) -> Sending:
+    def _make_sending(self, limits: AttemptLimits) -> AttemptRequest:
         last_event_id = self._reply.last_event_id
-        return Sending(
+        return AttemptRequest(
             endpoint=self._destination.endpoint,
             time_left_ms=limits.deadline_ms - self._now_ms(),
             last_event_id=last_event_id or self._call.head.last_event_id,
--- a/wingfall/gateway/model/binding.py
+++ b/wingfall/gateway/model/binding.py
@@ -28,7 +28,7 @@
 
 
 @final
-class Sending:
+class AttemptRequest:
     """Parameters that an attempt adds to a caller's request."""
 
     __slots__ = (
@@ -112,7 +112,7 @@
     ) -> CallHead:
         """Read the head of a caller's request."""
 
-    def endpoint_headers(self, call: Call, sending: Sending) -> Headers:
+    def endpoint_headers(self, call: Call, sending: AttemptRequest) -> Headers:
         """Return the headers of a request to an endpoint."""
 
     def memory_request(self, endpoint: PoolEndpoint) -> tuple[bytes, Headers]:
--- a/wingfall/platform/binding.py
+++ b/wingfall/platform/binding.py
@@ -26,7 +26,7 @@
 
     from returns.result import Result
 
-    from wingfall.gateway.model.binding import AnswerHead, Sending
+    from wingfall.gateway.model.binding import AnswerHead, AttemptRequest
     from wingfall.gateway.model.call import Call, CallHead, Headers
     from wingfall.gateway.model.pool_endpoint import PoolEndpoint
     from wingfall.gateway.model.prompt import PromptPart
@@ -78,7 +78,7 @@
         """Read the head of a caller's request."""
         return read_call(method, target, headers)
 
-    def endpoint_headers(self, call: Call, sending: Sending) -> Headers:
+    def endpoint_headers(self, call: Call, sending: AttemptRequest) -> Headers:
         """Write the headers of a request to an endpoint."""
         return endpoint_headers(call, sending)
 
--- a/wingfall/platform/headers.py
+++ b/wingfall/platform/headers.py
@@ -16,7 +16,7 @@
 from wingfall.platform.answer_signals import read_signals
 
 if TYPE_CHECKING:
-    from wingfall.gateway.model.binding import Sending
+    from wingfall.gateway.model.binding import AttemptRequest
     from wingfall.gateway.model.call import Call, Headers
     from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 
@@ -90,7 +90,7 @@
     )
 
 
-def endpoint_headers(call: Call, sending: Sending) -> Headers:
+def endpoint_headers(call: Call, sending: AttemptRequest) -> Headers:
     """Write the headers of a request to an endpoint.
 
     :param call: the request.
