--- a/tests/test_sending_gate.py
+++ b/tests/test_sending_gate.py
@@ -14,7 +14,7 @@
 from wingfall.gateway.endpoints.sending_gate import SendingGate
 from wingfall.gateway.knowledge.endpoint_signals import EndpointSignals
 from wingfall.gateway.model.answer_signals import AnswerSignals
-from wingfall.gateway.model.held import Held
+from wingfall.gateway.model.held import WithholdReason
 from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 from wingfall.gateway.rules.pacing.rate_share import share_among_few
 
@@ -109,7 +109,7 @@
         slots=8,
         draining=False,
     )
-    with pytest.raises(EndpointWithheldError, match=Held.limited):
+    with pytest.raises(EndpointWithheldError, match=WithholdReason.limited):
         connections.acquire(endpoint, timeout_ms=100, allow_reuse=False)
 
 
@@ -182,7 +182,7 @@
     signals.note_answer(ENDPOINT, AnswerSignals(rest_ms=year_ms), 900)
     clock.advance(year_ms - 1)
     signals.remove_expired({ENDPOINT})
-    assert gate.acquire(ENDPOINT) is Held.resting
+    assert gate.acquire(ENDPOINT) is WithholdReason.resting
     clock.advance(251)
     assert gate.acquire(ENDPOINT) is None
 
--- a/wingfall/gateway/calls/withheld_pool.py
+++ b/wingfall/gateway/calls/withheld_pool.py
@@ -8,7 +8,7 @@
 from wingfall.clock import MS_PER_S
 from wingfall.gateway.calls.attempt_outcome import AttemptOutcome
 from wingfall.gateway.model.attempt_end import AttemptEnd
-from wingfall.gateway.model.held import Held
+from wingfall.gateway.model.held import WithholdReason
 from wingfall.gateway.rules.admission.deferred_calls import AdmissionSlots
 from wingfall.gateway.rules.admission.refusals import refuse_withheld
 from wingfall.log import log_event
@@ -52,7 +52,7 @@
         every_ms=int(slots.interval_ms),
         gateways=len(state.gate.gateways),
     )
-    resting = set(reasons.values()) == {Held.resting}
+    resting = set(reasons.values()) == {WithholdReason.resting}
     return refuse_withheld(retry_ms, resting=resting)
 
 
@@ -105,7 +105,7 @@
         for each in state.knowledge.table.usable(pool)
         if state.gate.is_withheld(each.name, exclude_limited=True)
         # A leaving endpoint takes no more requests.
-        and state.gate.withheld_reason(each.name) is not Held.leaving
+        and state.gate.withheld_reason(each.name) is not WithholdReason.leaving
     ]
 
 
--- a/wingfall/gateway/endpoints/sending_gate.py
+++ b/wingfall/gateway/endpoints/sending_gate.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Any, Final, final
 
 from wingfall.clock import MS_PER_S
-from wingfall.gateway.model.held import Held
+from wingfall.gateway.model.held import WithholdReason
 from wingfall.gateway.rules.pacing.pace import TokenBucket
 from wingfall.gateway.rules.pacing.rate_share import ShareTerms
 from wingfall.gateway.rules.pacing.rest_return import (
@@ -121,7 +121,7 @@
             self._gateway_count = gateway_count
             self._shares.clear()
 
-    def withheld_reason(self, endpoint: str) -> Held | None:
+    def withheld_reason(self, endpoint: str) -> WithholdReason | None:
         """Return the reason why an endpoint takes no request now.
 
         :param endpoint: name of the endpoint.
@@ -130,17 +130,17 @@
         # Overrides the entry in the store, which may be outdated, or expire and
         # be written again.
         if endpoint in self._signals.leaving:
-            return Held.leaving
+            return WithholdReason.leaving
         now_ms = self._clock.now_ms()
         ramp_up = self._ramp_up(endpoint, now_ms)
         if ramp_up is not None and ramp_up.ready_in_ms(now_ms):
-            return Held.resting
+            return WithholdReason.resting
         bucket = self._token_bucket(endpoint)
         if bucket is not None and bucket.ready_in_ms(now_ms):
-            return Held.limited
+            return WithholdReason.limited
         return None
 
-    def acquire(self, endpoint: str) -> Held | None:
+    def acquire(self, endpoint: str) -> WithholdReason | None:
         """Count a request that is about to be sent.
 
         :param endpoint: name of the endpoint.
--- a/wingfall/gateway/model/held.py
+++ b/wingfall/gateway/model/held.py
@@ -7,7 +7,7 @@
 
 
 @final
-class Held(enum.StrEnum):
+class WithholdReason(enum.StrEnum):
     """Reasons to send an endpoint no request, as named in logs and metrics."""
 
     leaving = 'leaving'
