--- a/wingfall/gateway/duties/standing.py
+++ b/wingfall/gateway/duties/standing.py
@@ -66,7 +66,7 @@
         self.holder_heard = holder_heard
 
     @property
-    def hears_few(self) -> bool:
+    def sees_minority(self) -> bool:
         """Whether fewer than half of the other gateways are connected."""
         return 2 * len(self.heard) < self.known
 
@@ -126,7 +126,7 @@
             return False
         snapshot = self._snapshot_peers()
         turns = snapshot.before
-        if snapshot.hears_few:
+        if snapshot.sees_minority:
             turns += _MINORITY_TURNS
         if uptime_ms < self._warmup_ms:
             turns += _WARMUP_TURNS
@@ -157,7 +157,7 @@
         :returns: whether this gateway should take over the lease.
         """
         snapshot = self._snapshot_peers()
-        if snapshot.hears_few and decided:
+        if snapshot.sees_minority and decided:
             # The holder acts but is not connected to this gateway.
             return False
         if not record.holder or record.name not in snapshot.heard:
