--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -57,7 +57,7 @@
     return next(
         waited_ms
         for waited_ms in range(0, 20_000, 100)
-        if policy.steps_in(waited_ms)
+        if policy.should_poll_lease(waited_ms)
     )
 
 
@@ -86,21 +86,21 @@
         is_stopping=bool,
     )
     clock.advance(LEASE_MS)
-    assert not policy.steps_in(20_000)
+    assert not policy.should_poll_lease(20_000)
     clock.advance(1)
     assert required_wait_ms(policy) == 900
 
 
 def test_one_that_stops_does_not_stand(policy: TakeoverPolicy, peers: FakePeers):
     peers.is_stopping = True
-    assert not policy.steps_in(20_000)
+    assert not policy.should_poll_lease(20_000)
 
 
 def test_looks_are_half_a_second_apart(clock: ManualClock, policy: TakeoverPolicy):
-    assert policy.steps_in(1000)
-    assert not policy.steps_in(1000)
+    assert policy.should_poll_lease(1000)
+    assert not policy.should_poll_lease(1000)
     clock.advance(500)
-    assert policy.steps_in(1000)
+    assert policy.should_poll_lease(1000)
 
 
 def test_last_gateway_that_is_left_stands(policy: TakeoverPolicy, peers: FakePeers):
--- a/wingfall/gateway/duties/standing.py
+++ b/wingfall/gateway/duties/standing.py
@@ -114,7 +114,7 @@
         self._started_ms = clock.now_ms()
         self._polled_ms: float = float('-inf')
 
-    def steps_in(self, waited_ms: int) -> bool:
+    def should_poll_lease(self, waited_ms: int) -> bool:
         """Check if this gateway should poll the lease for a takeover.
 
         :param waited_ms: milliseconds for which a report has been due.
--- a/wingfall/gateway/duties/usage_duty.py
+++ b/wingfall/gateway/duties/usage_duty.py
@@ -109,7 +109,7 @@
 
     def _try_takeover(self, window: int) -> bool:
         waited_ms = self._counts.ms_since_end(window) - _SETTLE_MS
-        if not self._takeover_policy.steps_in(waited_ms):
+        if not self._takeover_policy.should_poll_lease(waited_ms):
             return False
         # The holder may have updated the lease since the last read.
         if not self._lease.refresh():
