--- a/wingfall/gateway/duties/standing.py
+++ b/wingfall/gateway/duties/standing.py
@@ -24,7 +24,7 @@
 # Milliseconds after which a new holder of the lease has received all counts: it
 # announces itself within 0.1 s, and peers send their counts each second. An
 # immediate decision reported 11 of 556 requests.
-HEARD_MS: Final = 1500
+COUNTS_RECEIVED_MS: Final = 1500
 # Milliseconds in which a holder that may act does so: a step, a write and a
 # report over busy links.
 _HOLDER_ACT_MS: Final = 1000
@@ -107,7 +107,7 @@
         self._lease_ms = lease_ms
         # Longer than any holder needs until it acts; otherwise gateways would
         # take the lease from each other endlessly, and none would act.
-        self._holder_timeout_ms = max(lease_ms, HEARD_MS + _HOLDER_ACT_MS)
+        self._holder_timeout_ms = max(lease_ms, COUNTS_RECEIVED_MS + _HOLDER_ACT_MS)
         self._warmup_ms = warmup_ms
         self._snapshot_peers = snapshot_peers
         self._is_stopping = is_stopping
--- a/wingfall/gateway/duties/usage_duty.py
+++ b/wingfall/gateway/duties/usage_duty.py
@@ -12,7 +12,7 @@
 from returns.result import Success
 
 from wingfall.gateway.duties.duty import DutyTerms, duties
-from wingfall.gateway.duties.standing import HEARD_MS
+from wingfall.gateway.duties.standing import COUNTS_RECEIVED_MS
 from wingfall.gateway.model.duty import UsageReport
 from wingfall.log import log_event
 
@@ -142,7 +142,7 @@
         if not undecided:
             # Resending decided reports requires that the lease is still held.
             return self._lease.refresh()
-        if self._lease.held_ms < HEARD_MS:
+        if self._lease.held_ms < COUNTS_RECEIVED_MS:
             return False
         reports = {
             window: counts
