--- a/tests/test_gateway_follower.py
+++ b/tests/test_gateway_follower.py
@@ -14,7 +14,7 @@
 from wingfall.clock import MS_PER_S, WallClock
 from wingfall.errors import PlatformError
 from wingfall.gateway.configuration.follower import (
-    REST_MS,
+    WATCH_PAUSE_MS,
     StoreFollower,
     retry_delay_ms,
 )
@@ -164,7 +164,7 @@
     # The stand-in has a change at each watch: without a pause, hundreds.
     before, started_s = len(site.store.calls), time.monotonic()
     gevent.sleep(0.5)
-    pauses = (time.monotonic() - started_s) * MS_PER_S / REST_MS
+    pauses = (time.monotonic() - started_s) * MS_PER_S / WATCH_PAUSE_MS
     assert len(site.store.calls) - before <= pauses + 2
 
 
--- a/wingfall/gateway/configuration/follower.py
+++ b/wingfall/gateway/configuration/follower.py
@@ -41,7 +41,7 @@
 # Pause of a watch after a change, so that one call covers the changes that
 # follow: four watchers without the pause made a sixth to a quarter more calls
 # than three with it.
-REST_MS: Final = 150
+WATCH_PAUSE_MS: Final = 150
 
 
 @final
@@ -182,7 +182,7 @@
                 revision=reading.revision,
                 ms=self._last_answer_ms - asked_ms,
             )
-            gevent.sleep(REST_MS / MS_PER_S)
+            gevent.sleep(WATCH_PAUSE_MS / MS_PER_S)
         return True
 
     def _list_or_watch(
