--- a/tests/test_gateway_follower.py
+++ b/tests/test_gateway_follower.py
@@ -120,7 +120,7 @@
 
 
 def test_what_a_peer_gave_need_not_be_listed(site: _FollowerSite):
-    site.replica.catch_up(make_reading(5))
+    site.replica.apply_peer_changes(make_reading(5))
     site.start()
     wait_until(lambda: site.store.calls)
     assert site.store.calls[0] == 'watch 5'
@@ -128,14 +128,14 @@
 
 def test_gateway_that_need_not_watch_makes_no_call(site: _FollowerSite):
     site.holds_watch = False
-    site.replica.catch_up(make_reading(5))
+    site.replica.apply_peer_changes(make_reading(5))
     site.start()
     gevent.sleep(0.3)
     assert not site.store.calls
 
 
 def test_forgotten_history_is_listed_though_a_peer_gave(site: _FollowerSite):
-    site.replica.catch_up(make_reading(5))
+    site.replica.apply_peer_changes(make_reading(5))
     site.store.status = HTTP_GONE
     site.start()
     wait_until(lambda: 'list' in site.store.calls)
@@ -171,7 +171,7 @@
 def test_lost_store_is_asked_without_a_wait_until_it_is_back(
     site: _FollowerSite,
 ):
-    site.replica.catch_up(make_reading(5))
+    site.replica.apply_peer_changes(make_reading(5))
     site.store.status = HTTP_UNAVAILABLE
     site.start()
     wait_until(lambda: len(site.store.brief) >= 3)
@@ -183,7 +183,7 @@
 def test_gateway_that_steps_in_hears_the_store_without_a_wait(
     site: _FollowerSite,
 ):
-    site.replica.catch_up(make_reading(5))
+    site.replica.apply_peer_changes(make_reading(5))
     site.holds_watch = False
     site.start()
     gevent.sleep(0.05)
@@ -211,7 +211,7 @@
         return list_all(**named)
 
     site.store.list_all = record_and_list
-    site.replica.catch_up(make_reading(5))
+    site.replica.apply_peer_changes(make_reading(5))
     site.store.status = HTTP_GONE
     site.start()
     wait_until(lambda: answered)
--- a/tests/test_gateway_load.py
+++ b/tests/test_gateway_load.py
@@ -199,7 +199,7 @@
     (changed,) = replica.objects_since(5)
     assert changed.spec is None
     other = make_replica([])
-    assert other.catch_up(reading(8, *replica.objects_since(0))) == 2
+    assert other.apply_peer_changes(reading(8, *replica.objects_since(0))) == 2
     assert other.revision == 8
 
 
--- a/wingfall/gateway/configuration/replica.py
+++ b/wingfall/gateway/configuration/replica.py
@@ -91,7 +91,7 @@
             self._apply(each, reading.revision) for each in reading.objects
         )
 
-    def catch_up(self, reading: StoreReading) -> int:
+    def apply_peer_changes(self, reading: StoreReading) -> int:
         """Apply changes of a peer that are complete up to its revision.
 
         :param reading: the changes and the peer's revision.
--- a/wingfall/gateway/peers/objects/object_exchange.py
+++ b/wingfall/gateway/peers/objects/object_exchange.py
@@ -245,7 +245,7 @@
             return
         fetch = self._fetches.pop(kind, None)
         self._backoffs[kind].reset()
-        applied = replica.catch_up(reading)
+        applied = replica.apply_peer_changes(reading)
         asked_ms = fetch.started_ms if fetch else None
         log_event(
             'peers',
