--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -20,7 +20,7 @@
     known_endpoints,
 )
 from tests.local_site import wait_until
-from tests.test_stored_objects import SOUND, make_state
+from tests.test_stored_objects import VALID_ENDPOINT, make_state
 from tools.fleet import free_port
 from wingfall.clock import ManualClock
 from wingfall.gateway.configuration.object_applier import ObjectApplier
@@ -55,7 +55,7 @@
     born_ms: int | None, name: str = 'one', **changes: Any
 ) -> PoolEndpoint:
     """Create an endpoint with a start time."""
-    spec = {**SOUND, **changes}
+    spec = {**VALID_ENDPOINT, **changes}
     if born_ms is not None:
         spec['born'] = born_ms
     return read_endpoint(name, spec).unwrap()
@@ -65,7 +65,7 @@
     """Return a function that applies an endpoint entry."""
 
     def put(born_ms: int | None, name: str = 'one', **changes: Any) -> None:
-        spec = {**SOUND, **changes}
+        spec = {**VALID_ENDPOINT, **changes}
         if born_ms is not None:
             spec['born'] = born_ms
         applier.apply_endpoint(name, spec)
--- a/tests/test_stored_objects.py
+++ b/tests/test_stored_objects.py
@@ -38,7 +38,7 @@
     read_page,
 )
 
-SOUND = {
+VALID_ENDPOINT = {
     'service': 'plain',
     'address': '10.0.0.1:80',
     'zone': 'a',
@@ -84,11 +84,11 @@
 
 
 MIXED_ENTRIES = st.lists(
-    altered({'metadata': {'name': 'x', 'revision': 4}, 'spec': SOUND})
+    altered({'metadata': {'name': 'x', 'revision': 4}, 'spec': VALID_ENDPOINT})
     | altered({'name': 'x', 'revision': 4}).map(
-        lambda metadata: {'metadata': metadata, 'spec': SOUND}
+        lambda metadata: {'metadata': metadata, 'spec': VALID_ENDPOINT}
     )
-    | altered(SOUND).map(
+    | altered(VALID_ENDPOINT).map(
         lambda spec: {'metadata': {'name': 'x', 'revision': 4}, 'spec': spec}
     ),
     max_size=4,
@@ -97,7 +97,7 @@
 
 def stored_endpoint(name: str) -> dict[str, Any]:
     """Return a valid object in the form of the store."""
-    return {'metadata': {'name': name, 'revision': 5}, 'spec': SOUND}
+    return {'metadata': {'name': name, 'revision': 5}, 'spec': VALID_ENDPOINT}
 
 
 def make_state() -> SimpleNamespace:
@@ -151,7 +151,7 @@
 def test_bytes_inside_a_text_spoil_that_text_alone(random_bytes: bytes):
     corrupt = {
         **stored_endpoint('bad'),
-        'spec': {**SOUND, 'service': '#mark#'},
+        'spec': {**VALID_ENDPOINT, 'service': '#mark#'},
     }
     sent = orjson.dumps({'items': [stored_endpoint('one'), corrupt], 'at': 9})
     allowed_bytes = random_bytes.translate(None, JSON_SPECIAL_BYTES)
@@ -233,10 +233,10 @@
     applier = ObjectApplier(state=state)
     parts = [PromptPart(part_id=str(each), tokens=100) for each in range(9)]
     if endpoint_first:
-        applier.apply_endpoint('one', SOUND)
+        applier.apply_endpoint('one', VALID_ENDPOINT)
         state.knowledge.caches.find('one').note(parts)
     applier.apply_routes('main', with_cache_size(3, 500).spec)
-    applier.apply_endpoint('one', SOUND)
+    applier.apply_endpoint('one', VALID_ENDPOINT)
     cache = state.knowledge.caches.find('one')
     cache.note(parts)
     assert cache.tokens == 500
