--- a/tests/peer_standin.py
+++ b/tests/peer_standin.py
@@ -12,7 +12,7 @@
 from wingfall.clock import WallClock
 from wingfall.errors import WireError
 from wingfall.gateway.configuration.replica import ROUTES_KIND, ObjectReplica
-from wingfall.gateway.model.object_store import StoredObject, StoreReading
+from wingfall.gateway.model.object_store import StoredObject, StoreResponse
 from wingfall.gateway.peers.heartbeat_schedule import silence_timeout_ms
 from wingfall.gateway.peers.objects.object_exchange import ObjectExchange
 from wingfall.gateway.peers.peer_session import PeerSession
@@ -61,7 +61,7 @@
         :param spec: configuration to apply.
         """
         stored = StoredObject(name='main', revision=revision, spec=spec)
-        reading = StoreReading(revision=revision, objects=[stored])
+        reading = StoreResponse(revision=revision, objects=[stored])
         self._replica.apply_changes(reading)
 
     def stop(self) -> None:
--- a/tests/test_gateway_follower.py
+++ b/tests/test_gateway_follower.py
@@ -19,7 +19,7 @@
     retry_delay_ms,
 )
 from wingfall.gateway.configuration.replica import ROUTES_KIND, ObjectReplica
-from wingfall.gateway.model.object_store import StoredObject, StoreReading
+from wingfall.gateway.model.object_store import StoredObject, StoreResponse
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
@@ -44,7 +44,7 @@
         self,
         *,
         progress: Callable[[], None],
-    ) -> Result[StoreReading, PlatformError]:
+    ) -> Result[StoreResponse, PlatformError]:
         return self._answer('list')
 
     def watch(
@@ -53,7 +53,7 @@
         *,
         progress: Callable[[], None],
         brief: bool = False,
-    ) -> Result[StoreReading, PlatformError]:
+    ) -> Result[StoreResponse, PlatformError]:
         self.brief.append(brief)
         self.progress = progress
         answer = self._answer(f'watch {revision}')
@@ -61,7 +61,7 @@
             self.status = 0
         return answer
 
-    def _answer(self, call: str) -> Result[StoreReading, PlatformError]:
+    def _answer(self, call: str) -> Result[StoreResponse, PlatformError]:
         self.calls.append(call)
         gevent.sleep(0.02)
         if self.status:
@@ -69,10 +69,10 @@
         return Success(make_reading(7))
 
 
-def make_reading(revision: int) -> StoreReading:
+def make_reading(revision: int) -> StoreResponse:
     """Return the answer of the store at a revision."""
     main = StoredObject(name='main', revision=revision, spec={})
-    return StoreReading(revision=revision, objects=[main])
+    return StoreResponse(revision=revision, objects=[main])
 
 
 @final
--- a/tests/test_gateway_load.py
+++ b/tests/test_gateway_load.py
@@ -10,7 +10,7 @@
 from wingfall.gateway.knowledge.decaying_sum import DecayingSum
 from wingfall.gateway.knowledge.endpoint_table import EndpointTable
 from wingfall.gateway.knowledge.load import EndpointLoad, LoadTable
-from wingfall.gateway.model.object_store import StoredObject, StoreReading
+from wingfall.gateway.model.object_store import StoredObject, StoreResponse
 from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 from wingfall.gateway.peers.loads.load_entries import (
     decode_loads,
@@ -141,9 +141,9 @@
     assert read.streams == load.streams
 
 
-def reading(revision: int, *objects: StoredObject) -> StoreReading:
+def reading(revision: int, *objects: StoredObject) -> StoreResponse:
     """Create a result of reading the store."""
-    return StoreReading(revision=revision, objects=list(objects))
+    return StoreResponse(revision=revision, objects=list(objects))
 
 
 def make_replica(changes: list[tuple[str, object]]) -> ObjectReplica:
--- a/tests/test_object_exchange.py
+++ b/tests/test_object_exchange.py
@@ -11,7 +11,7 @@
 from wingfall.clock import ManualClock
 from wingfall.errors import WireError
 from wingfall.gateway.configuration.replica import ROUTES_KIND, ObjectReplica
-from wingfall.gateway.model.object_store import StoredObject, StoreReading
+from wingfall.gateway.model.object_store import StoredObject, StoreResponse
 from wingfall.gateway.peers.objects.object_exchange import ObjectExchange
 from wingfall.gateway.peers.objects.object_transfer import CHUNK_BYTES
 from wingfall.wire.transfer_messages import ObjectsFetch, ObjectsPage
@@ -45,10 +45,10 @@
         self.exchange.check_revision(peer, ROUTES_KIND, revision)
 
 
-def store_reading(revision: int) -> StoreReading:
+def store_reading(revision: int) -> StoreResponse:
     """Return the store state with one object at a revision."""
     main = StoredObject(name='main', revision=revision, spec={})
-    return StoreReading(revision=revision, objects=[main])
+    return StoreResponse(revision=revision, objects=[main])
 
 
 def peer(name: str, zone: str = ZONE) -> PeerSession:
@@ -137,11 +137,11 @@
     assert count_fetches(far) == 1
 
 
-def long_store_reading(revision: int) -> StoreReading:
+def long_store_reading(revision: int) -> StoreResponse:
     """Return a configuration that takes several chunks when compressed."""
     names = random.Random(revision).sample(range(10**12), 20_000)
     main = StoredObject(name='main', revision=revision, spec={'names': names})
-    return StoreReading(revision=revision, objects=[main])
+    return StoreResponse(revision=revision, objects=[main])
 
 
 @final
@@ -259,7 +259,7 @@
     # The peer ahead has listed the store later; the object is the same.
     ahead = _Gateway(revision=0)
     ahead.replica.apply_list(
-        StoreReading(revision=9, objects=store_reading(5).objects),
+        StoreResponse(revision=9, objects=store_reading(5).objects),
     )
     back = peer('behind')
     ahead.exchange.send_objects(
@@ -274,6 +274,6 @@
 
 def test_deleted_object_is_sent_whatever_its_revision():
     ahead = _Gateway(revision=5)
-    ahead.replica.apply_list(StoreReading(revision=9, objects=[]))
+    ahead.replica.apply_list(StoreResponse(revision=9, objects=[]))
     (gone,) = ahead.replica.objects_since(7)
     assert gone.spec is None
--- a/tests/test_stored_objects.py
+++ b/tests/test_stored_objects.py
@@ -23,7 +23,7 @@
     ObjectReplica,
 )
 from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
-from wingfall.gateway.model.object_store import StoredObject, StoreReading
+from wingfall.gateway.model.object_store import StoredObject, StoreResponse
 from wingfall.gateway.model.prompt import PromptPart
 from wingfall.gateway.peers.objects.object_transfer import (
     decode_objects,
@@ -111,7 +111,7 @@
     )
 
 
-def usable_endpoints(reading: StoreReading) -> list[str]:
+def usable_endpoints(reading: StoreResponse) -> list[str]:
     """Put objects in force as endpoints and return the usable names."""
     state = make_state()
     applier = ObjectApplier(state=state)
@@ -178,9 +178,9 @@
     applier = ObjectApplier(state=state)
     replica = ObjectReplica(kind=ROUTES_KIND, listener=applier.apply_routes)
     main = StoredObject(name='main', revision=1, spec=VALID_ROUTES)
-    replica.apply_list(StoreReading(revision=1, objects=[main]))
+    replica.apply_list(StoreResponse(revision=1, objects=[main]))
     altered_main = StoredObject(name='main', revision=2, spec=spec)
-    changes = StoreReading(revision=2, objects=[altered_main])
+    changes = StoreResponse(revision=2, objects=[altered_main])
     replica.apply_changes(changes)
     assert state.routes.version >= VALID_ROUTES['version']
     state.routes.find_route('h', '/')
--- a/tools/slopes/gateway.py
+++ b/tools/slopes/gateway.py
@@ -12,7 +12,7 @@
 from wingfall.gateway.knowledge.endpoint_knowledge import EndpointKnowledge
 from wingfall.gateway.knowledge.endpoint_table import EndpointTable
 from wingfall.gateway.knowledge.prefix_cache import PrefixCache
-from wingfall.gateway.model.object_store import StoredObject, StoreReading
+from wingfall.gateway.model.object_store import StoredObject, StoreResponse
 from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 from wingfall.gateway.model.prompt import Prompt, PromptPart
 from wingfall.gateway.rules.placement.candidate import Candidate, Demand
@@ -103,7 +103,7 @@
         )
         for number in range(count)
     ]
-    replica.apply_list(StoreReading(revision=count, objects=objects))
+    replica.apply_list(StoreResponse(revision=count, objects=objects))
     for each in objects:
         table.put(
             PoolEndpoint(
--- a/wingfall/gateway/configuration/follower.py
+++ b/wingfall/gateway/configuration/follower.py
@@ -24,7 +24,7 @@
     from wingfall.clock import Clock
     from wingfall.errors import PlatformError
     from wingfall.gateway.configuration.replica import ObjectReplica
-    from wingfall.gateway.model.object_store import ObjectStore, StoreReading
+    from wingfall.gateway.model.object_store import ObjectStore, StoreResponse
 
 # Milliseconds from a failed call to the next; the delay doubles with each
 # failure, so that one lost answer costs little.
@@ -188,7 +188,7 @@
     def _list_or_watch(
         self,
         revision: int | None,
-    ) -> Result[StoreReading, PlatformError]:
+    ) -> Result[StoreResponse, PlatformError]:
         if revision is None:
             return self._store.list_all(progress=self._note_progress)
         # A watch of an unresponsive store hangs for its whole time, even if the
--- a/wingfall/gateway/configuration/replica.py
+++ b/wingfall/gateway/configuration/replica.py
@@ -11,7 +11,7 @@
 from wingfall.gateway.model.object_store import StoredObject
 
 if TYPE_CHECKING:
-    from wingfall.gateway.model.object_store import StoreReading
+    from wingfall.gateway.model.object_store import StoreResponse
 
 ROUTES_KIND: Final = 'routes'
 ENDPOINTS_KIND: Final = 'endpoints'
@@ -62,7 +62,7 @@
         # Names of the removed objects, the oldest first.
         self._tombstones: dict[str, None] = {}
 
-    def apply_list(self, reading: StoreReading) -> None:
+    def apply_list(self, reading: StoreResponse) -> None:
         """Apply a complete list.
 
         :param reading: the list and its revision.
@@ -79,7 +79,7 @@
                 )
                 self._apply(removed, reading.revision)
 
-    def apply_changes(self, reading: StoreReading) -> int:
+    def apply_changes(self, reading: StoreResponse) -> int:
         """Apply changes in their order.
 
         :param reading: the changes and the revision that they lead to.
@@ -91,7 +91,7 @@
             self._apply(each, reading.revision) for each in reading.objects
         )
 
-    def apply_peer_changes(self, reading: StoreReading) -> int:
+    def apply_peer_changes(self, reading: StoreResponse) -> int:
         """Apply changes of a peer that are complete up to its revision.
 
         :param reading: the changes and the peer's revision.
--- a/wingfall/gateway/model/object_store.py
+++ b/wingfall/gateway/model/object_store.py
@@ -41,7 +41,7 @@
 
 
 @final
-class StoreReading:
+class StoreResponse:
     """Answer to one call to the store."""
 
     __slots__ = ('nameless', 'objects', 'revision')
@@ -71,7 +71,7 @@
         self,
         *,
         progress: Callable[[], None],
-    ) -> Result[StoreReading, PlatformError]:
+    ) -> Result[StoreResponse, PlatformError]:
         """Return all objects of the kind."""
 
     def watch(
@@ -80,7 +80,7 @@
         *,
         progress: Callable[[], None],
         brief: bool = False,
-    ) -> Result[StoreReading, PlatformError]:
+    ) -> Result[StoreResponse, PlatformError]:
         """Return the changes after a revision, waiting a bounded time.
 
         With ``brief``, return the changes so far without waiting for more.
--- a/wingfall/gateway/peers/objects/object_exchange.py
+++ b/wingfall/gateway/peers/objects/object_exchange.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING, Final, final
 
-from wingfall.gateway.model.object_store import StoreReading
+from wingfall.gateway.model.object_store import StoreResponse
 from wingfall.gateway.peers.objects.object_fetch import ObjectFetch
 from wingfall.gateway.peers.objects.object_transfer import (
     OutgoingTransfer,
@@ -167,7 +167,7 @@
         """
         if not page.size:
             objects = decode_objects(page.objects)
-            reading = StoreReading(revision=page.revision, objects=objects)
+            reading = StoreResponse(revision=page.revision, objects=objects)
             self._apply(session, page.kind, reading, 0)
             return
         fetch = self._fetches.get(page.kind)
@@ -237,7 +237,7 @@
         self,
         session: PeerSession,
         kind: str,
-        reading: StoreReading,
+        reading: StoreResponse,
         size: int,
     ) -> None:
         replica = self._replicas.get(kind)
--- a/wingfall/gateway/peers/objects/object_transfer.py
+++ b/wingfall/gateway/peers/objects/object_transfer.py
@@ -9,7 +9,7 @@
 import orjson
 
 from wingfall.errors import WireError
-from wingfall.gateway.model.object_store import StoredObject, StoreReading
+from wingfall.gateway.model.object_store import StoredObject, StoreResponse
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -98,14 +98,14 @@
         self._received += page.chunk
         return True
 
-    def unpack(self) -> StoreReading:
+    def unpack(self) -> StoreResponse:
         """Unpack the objects once all chunks have been received.
 
         :returns: the objects and the revision up to which they are complete.
         :raises WireError: if the objects cannot be unpacked.
         """
         objects = unpack_objects(bytes(self._received))
-        return StoreReading(revision=self._revision, objects=objects)
+        return StoreResponse(revision=self._revision, objects=objects)
 
 
 def pack_objects(objects: Sequence[StoredObject]) -> bytes:
--- a/wingfall/platform/store.py
+++ b/wingfall/platform/store.py
@@ -15,7 +15,7 @@
 
 from wingfall.clock import MS_PER_S
 from wingfall.errors import PlatformError
-from wingfall.gateway.model.object_store import StoreReading
+from wingfall.gateway.model.object_store import StoreResponse
 from wingfall.log import log_event
 from wingfall.platform.store_answers import (
     parse_answer,
@@ -95,7 +95,7 @@
         self,
         *,
         progress: Callable[[], None],
-    ) -> Result[StoreReading, PlatformError]:
+    ) -> Result[StoreResponse, PlatformError]:
         """Read all objects of the kind, page by page.
 
         :param progress: called as the answers come in.
@@ -117,7 +117,7 @@
             revision = reading.revision if revision is None else revision
             if not more or not reading.objects:
                 return Success(
-                    StoreReading(revision=revision, objects=objects),
+                    StoreResponse(revision=revision, objects=objects),
                 )
             query = {'since_rev': reading.objects[-1].name}
 
@@ -127,7 +127,7 @@
         *,
         progress: Callable[[], None],
         brief: bool = False,
-    ) -> Result[StoreReading, PlatformError]:
+    ) -> Result[StoreResponse, PlatformError]:
         """Wait for changes after a revision.
 
         :param revision: up to where the changes are known.
@@ -228,7 +228,7 @@
             return Failure(PlatformError(status=status, message=text))
         return parse_answer(received)
 
-    def _note_nameless(self, reading: StoreReading) -> None:
+    def _note_nameless(self, reading: StoreResponse) -> None:
         # Nothing can be done about them; a list tells of them each time.
         if not reading.nameless:
             return
--- a/wingfall/platform/store_answers.py
+++ b/wingfall/platform/store_answers.py
@@ -15,7 +15,7 @@
 from returns.result import Failure, Result, Success
 
 from wingfall.errors import PlatformError
-from wingfall.gateway.model.object_store import StoredObject, StoreReading
+from wingfall.gateway.model.object_store import StoredObject, StoreResponse
 
 # Half of a surrogate pair, written as an escape without the other half.
 _LONE_SURROGATE: Final = re.compile(
@@ -44,7 +44,7 @@
         return _parse_text(_LONE_SURROGATE.sub(_REPLACEMENT, text))
 
 
-def read_page(body: Any) -> Result[tuple[StoreReading, bool], PlatformError]:
+def read_page(body: Any) -> Result[tuple[StoreResponse, bool], PlatformError]:
     """Read a page of a list.
 
     :param body: the answer's JSON.
@@ -57,7 +57,7 @@
     return Success((_make_reading(found, body['at']), bool(body.get('more'))))
 
 
-def read_changes(body: Any) -> Result[StoreReading, PlatformError]:
+def read_changes(body: Any) -> Result[StoreResponse, PlatformError]:
     """Read what a watch tells.
 
     :param body: the answer's JSON.
@@ -116,9 +116,9 @@
 def _make_reading(
     found: list[StoredObject | None],
     revision: int,
-) -> StoreReading:
+) -> StoreResponse:
     objects = [stored for stored in found if stored is not None]
-    return StoreReading(
+    return StoreResponse(
         revision=revision,
         objects=objects,
         nameless=len(found) - len(objects),
