--- a/wingfall/gateway/model/object_store.py
+++ b/wingfall/gateway/model/object_store.py
@@ -44,24 +44,24 @@
 class StoreResponse:
     """Answer to one call to the store."""
 
-    __slots__ = ('nameless', 'objects', 'revision')
+    __slots__ = ('unnamed_count', 'objects', 'revision')
 
     def __init__(
         self,
         *,
         revision: int,
         objects: list[StoredObject],
-        nameless: int = 0,
+        unnamed_count: int = 0,
     ) -> None:
         """Create the answer.
 
         :param revision: the store's counter up to which the answer is complete.
         :param objects: the listed or changed objects, in order.
-        :param nameless: number of further objects that have no name.
+        :param unnamed_count: number of further objects that have no name.
         """
         self.revision = revision
         self.objects = objects
-        self.nameless = nameless
+        self.unnamed_count = unnamed_count
 
 
 class ObjectStore(Protocol):
--- a/wingfall/platform/store.py
+++ b/wingfall/platform/store.py
@@ -230,15 +230,15 @@
 
     def _note_nameless(self, reading: StoreResponse) -> None:
         # Nothing can be done about them; a list tells of them each time.
-        if not reading.nameless:
+        if not reading.unnamed_count:
             return
         labels = {'kind': self._kind, 'field': 'name'}
-        self._metrics.objects_refused.add(labels, reading.nameless)
+        self._metrics.objects_refused.add(labels, reading.unnamed_count)
         log_event(
             'store',
             'Objects without a name were left out.',
             kind=self._kind,
-            objects=reading.nameless,
+            objects=reading.unnamed_count,
             revision=reading.revision,
         )
 
--- a/wingfall/platform/store_answers.py
+++ b/wingfall/platform/store_answers.py
@@ -121,7 +121,7 @@
     return StoreResponse(
         revision=revision,
         objects=objects,
-        nameless=len(found) - len(objects),
+        unnamed_count=len(found) - len(objects),
     )
 
 
