--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -268,7 +268,7 @@
     headers = binding.refusal_headers(head)
     assert plain(headers) == record('refusal_headers')
     assert binding.ready_path == '/wingfall/ready'
-    path, asked = binding.memory_request(make_endpoint('e1'))
+    path, asked = binding.prefix_cache_request(make_endpoint('e1'))
     assert plain([path, asked]) == record('memory_request')
 
 
--- a/wingfall/gateway/model/binding.py
+++ b/wingfall/gateway/model/binding.py
@@ -115,7 +115,7 @@
     def endpoint_headers(self, call: Call, sending: AttemptRequest) -> Headers:
         """Return the headers of a request to an endpoint."""
 
-    def memory_request(self, endpoint: PoolEndpoint) -> tuple[bytes, Headers]:
+    def prefix_cache_request(self, endpoint: PoolEndpoint) -> tuple[bytes, Headers]:
         """Return path and headers to query an engine's prompt cache."""
 
     def read_memory(self, body: bytes) -> Result[tuple[PromptPart, ...], str]:
--- a/wingfall/gateway/peers/caches/memory_survey.py
+++ b/wingfall/gateway/peers/caches/memory_survey.py
@@ -174,7 +174,7 @@
         engine: PoolEndpoint,
         connection: EndpointConnection,
     ) -> Result[bytes, str]:
-        target, headers = self._binding.memory_request(engine)
+        target, headers = self._binding.prefix_cache_request(engine)
         sent_ms = self._clock.now_ms()
         connection.send(b'GET', target, headers, b'')
         until_ms = self._clock.now_ms() + _ANSWER_TIMEOUT_MS
--- a/wingfall/platform/binding.py
+++ b/wingfall/platform/binding.py
@@ -82,7 +82,7 @@
         """Write the headers of a request to an endpoint."""
         return endpoint_headers(call, sending)
 
-    def memory_request(self, endpoint: PoolEndpoint) -> tuple[bytes, Headers]:
+    def prefix_cache_request(self, endpoint: PoolEndpoint) -> tuple[bytes, Headers]:
         """Give path and headers of the question what an engine keeps."""
         return _MEMORY_PATH, memory_headers(endpoint)
 
