--- a/tests/test_memory_survey.py
+++ b/tests/test_memory_survey.py
@@ -14,7 +14,7 @@
     PrefixCaches,
 )
 from wingfall.gateway.model.prompt import PromptPart
-from wingfall.platform.documents import read_memory
+from wingfall.platform.documents import read_prefix_cache
 
 
 @pytest.fixture
@@ -91,4 +91,4 @@
     [b'', b'[]', b'{}', b'{"held":[["","p"]]}', b'{"held":[["","p","x",""]]}'],
 )
 def test_malformed_list_is_a_failure(body: bytes):
-    assert not isinstance(read_memory(body), Success)
+    assert not isinstance(read_prefix_cache(body), Success)
--- a/wingfall/gateway/model/binding.py
+++ b/wingfall/gateway/model/binding.py
@@ -118,7 +118,7 @@
     def prefix_cache_request(self, endpoint: PoolEndpoint) -> tuple[bytes, Headers]:
         """Return path and headers to query an engine's prompt cache."""
 
-    def read_memory(self, body: bytes) -> Result[tuple[PromptPart, ...], str]:
+    def read_prefix_cache(self, body: bytes) -> Result[tuple[PromptPart, ...], str]:
         """Read the prompt parts that an engine reports as cached."""
 
     def read_answer(self, status: int, headers: Headers) -> AnswerHead:
--- a/wingfall/platform/binding.py
+++ b/wingfall/platform/binding.py
@@ -8,7 +8,7 @@
 
 from wingfall.errors import ObjectFault
 from wingfall.gateway.model.binding import bindings
-from wingfall.platform.documents import read_memory, read_routes
+from wingfall.platform.documents import read_prefix_cache, read_routes
 from wingfall.platform.duty_calls import HttpDutyCalls
 from wingfall.platform.endpoint_entry import read_endpoint
 from wingfall.platform.headers import (
@@ -86,9 +86,9 @@
         """Give path and headers of the question what an engine keeps."""
         return _MEMORY_PATH, memory_headers(endpoint)
 
-    def read_memory(self, body: bytes) -> Result[tuple[PromptPart, ...], str]:
+    def read_prefix_cache(self, body: bytes) -> Result[tuple[PromptPart, ...], str]:
         """Read the parts of prompts that an engine says it keeps."""
-        return read_memory(body)
+        return read_prefix_cache(body)
 
     def read_answer(self, status: int, headers: Headers) -> AnswerHead:
         """Read the head of an endpoint's answer."""
--- a/wingfall/platform/documents.py
+++ b/wingfall/platform/documents.py
@@ -60,7 +60,7 @@
         return Failure(ObjectFault(field='object', reason=reason))
 
 
-def read_memory(body: bytes) -> Result[tuple[PromptPart, ...], str]:
+def read_prefix_cache(body: bytes) -> Result[tuple[PromptPart, ...], str]:
     """Read what an engine says it keeps.
 
     :param body: its answer, ``held`` with an entry for each part: a word
