--- a/wingfall/gateway/calls/pool_capacity.py
+++ b/wingfall/gateway/calls/pool_capacity.py
@@ -88,7 +88,7 @@
     expected_ms = functools.partial(
         state.knowledge.expected_start_ms, pool, call.priority
     )
-    tiers = state.routes.tiers_of(pool) if state.routes else (0,)
+    tiers = state.routes.find_tiers(pool) if state.routes else (0,)
     return StartEstimate(
         start_ms=expected_ms(destination.start_ms),
         target_ms=call.route.target_ms,
--- a/wingfall/gateway/model/routes.py
+++ b/wingfall/gateway/model/routes.py
@@ -265,7 +265,7 @@
                 return route
         return None
 
-    def tiers_of(self, pool: str) -> tuple[int, ...]:
+    def find_tiers(self, pool: str) -> tuple[int, ...]:
         """Return the tiers of the routes to a pool.
 
         :param pool: name of the pool.
