--- a/wingfall/gateway/knowledge/crash_ledger.py
+++ b/wingfall/gateway/knowledge/crash_ledger.py
@@ -122,7 +122,7 @@
         selected = self._select_suspects(
             crash, crash.suspects, MAX_REPORTED_SUSPECTS
         )
-        added = self.merge_crash(crash.narrowed(selected))
+        added = self.merge_crash(crash.restricted_to(selected))
         if added is not None:
             report = self._unreported_crashes.setdefault(crash.endpoint, added)
             report.silent |= added.silent
@@ -143,7 +143,7 @@
         new = self._select_suspects(crash, crash.suspects - suspects, capacity)
         if known is not None and not new:
             return None
-        added = crash.narrowed(new)
+        added = crash.restricted_to(new)
         self._merge(known, added)
         return added
 
@@ -252,7 +252,7 @@
     def _merge(self, known: EndpointCrash | None, added: EndpointCrash) -> None:
         if known is None:
             # Copy the crash, since the stored entry changes later.
-            self._crashes[added.endpoint] = added.narrowed(added.suspects)
+            self._crashes[added.endpoint] = added.restricted_to(added.suspects)
         else:
             known.silent |= added.silent
             known.streaming |= added.streaming - known.silent
--- a/wingfall/gateway/model/endpoint_crash.py
+++ b/wingfall/gateway/model/endpoint_crash.py
@@ -62,7 +62,7 @@
         """
         return fingerprint in self.silent or fingerprint in self.streaming
 
-    def narrowed(self, suspects: set[Fingerprint]) -> EndpointCrash:
+    def restricted_to(self, suspects: set[Fingerprint]) -> EndpointCrash:
         """Return a copy of the crash limited to some of its requests.
 
         :param suspects: the requests to retain.
