--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.processes
-def test_windows_are_reported_truly(site: SoakSite):
+def test_windows_are_reported_correctly(site: SoakSite):
     traffic = Traffic(site=site, seed=1, callers=CALLER_COUNT)
     wait_for_reports(site, 6)
     traffic.stop()
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.processes
-def test_holder_that_is_killed_is_replaced_in_time(site: SoakSite):
+def test_killed_holder_is_replaced_without_missed_window(site: SoakSite):
     wait_for_reports(site, 2)
     holder = find_holder(site)
     site.gateways[holder].kill()
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.processes
-def test_holder_that_stops_hands_over(site: SoakSite):
+def test_stopping_holder_hands_over(site: SoakSite):
     wait_for_reports(site, 2)
     holder = find_holder(site)
     site.gateways[holder].signal(signal.SIGTERM)
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.processes
-def test_holder_that_is_paused_does_not_act_after_the_next(site: SoakSite):
+def test_paused_holder_does_not_act_after_takeover(site: SoakSite):
     wait_for_reports(site, 2)
     holder = find_holder(site)
     site.gateways[holder].signal(signal.SIGSTOP)
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.processes
-def test_what_an_outage_held_up_is_caught_up_in_order(site: SoakSite):
+def test_windows_are_reported_in_order_after_outage(site: SoakSite):
     wait_for_reports(site, 2)
     site.duty_platform.fault = 'down'
     gevent.sleep(WINDOW_S + 1)
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -35,7 +35,7 @@
         (b'Last-Event-Id', b'7'),
     ],
 )
-def test_what_differs_between_sendings_does_not_count(
+def test_attempt_headers_do_not_change_fingerprint(
     header: tuple[bytes, bytes],
 ):
     assert fingerprint(header) == fingerprint()
@@ -52,20 +52,20 @@
         {'body': ()},
     ],
 )
-def test_other_requests_have_other_fingerprints(changed: dict[str, object]):
+def test_different_requests_have_different_fingerprints(changed: dict[str, object]):
     assert fingerprint(**changed) != fingerprint()
 
 
-def test_fields_do_not_run_into_each_other():
+def test_field_boundaries_change_fingerprint():
     first = fingerprint(target=b'/ab', customer='c')
     assert first != fingerprint(target=b'/a', customer='bc')
 
 
-def test_pieces_of_a_body_do_not_matter():
+def test_chunking_of_body_does_not_change_fingerprint():
     assert fingerprint(body=(b'onetwo',)) == fingerprint()
 
 
-def test_body_is_kept_and_digested_whole():
+def test_reader_returns_whole_body_and_digest():
     reader = BodyReader()
     reader.add(b'one')
     reader.add(b'two')
--- a/tests/test_gateway_config.py
+++ b/tests/test_gateway_config.py
@@ -79,14 +79,14 @@
     assert gateway_site.ask('/safe/x').status == 200
 
 
-def test_ready_is_asked_by_the_balancer(gateway_site: GatewaySite):
+def test_readiness_check_answers_when_ready(gateway_site: GatewaySite):
     gateway_site.add_server('one')
     gateway = gateway_site.add_gateway()
     url = f'http://{HOST}:{gateway.ready_port}/wingfall/ready'
     assert urllib3.request('GET', url).status == 200
 
 
-def test_forgotten_history_leads_to_a_new_list(gateway_site: GatewaySite):
+def test_dropped_history_leads_to_a_new_list(gateway_site: GatewaySite):
     gateway_site.add_server('one')
     gateway = gateway_site.add_gateway()
     set_store_script(gateway_site, status=429)
@@ -123,7 +123,7 @@
     assert caller.receive().status == 200
 
 
-def test_peers_give_what_the_store_does_not(gateway_site: GatewaySite):
+def test_peers_send_objects_while_the_store_is_unreachable(gateway_site: GatewaySite):
     gateway_site.add_server('one')
     first = gateway_site.add_gateway()
     # The second gateway has a store address that refuses connections.
@@ -148,7 +148,7 @@
     assert caller.receive().status == 401
 
 
-def test_some_gateways_watch_and_all_know(gateway_site: GatewaySite):
+def test_watching_gateways_send_changes_to_all(gateway_site: GatewaySite):
     gateway_site.add_server('one')
     for _gateway in range(7):
         gateway_site.add_gateway()
@@ -178,7 +178,7 @@
     wait_until(lambda: count_watchers(gateway_site) == WATCHER_COUNT)
 
 
-def test_lapsed_entries_still_serve_for_a_moment(gateway_site: GatewaySite):
+def test_removed_endpoint_still_serves_for_a_moment(gateway_site: GatewaySite):
     gateway_site.add_server('one')
     gateway = gateway_site.add_gateway()
     gateway_site.store.delete('servers', 'one')
@@ -194,7 +194,7 @@
     assert shown['endpoints'] == ['one']
 
 
-def test_unknown_policy_is_refused_with_the_names_there_are(
+def test_unknown_policy_error_lists_the_valid_names(
     tmp_path: pathlib.Path,
     capsys: pytest.CaptureFixture[str],
 ):
@@ -212,7 +212,7 @@
     assert 'least_read' in stderr
 
 
-def test_reload_takes_what_can_change(gateway_site: GatewaySite):
+def test_reload_applies_changed_seeds(gateway_site: GatewaySite):
     gateway_site.add_server('one')
     first = gateway_site.add_gateway(peers={'listen': f'{HOST}:0'})
     second = gateway_site.add_gateway(peers={'listen': f'{HOST}:0'})
@@ -231,7 +231,7 @@
     wait_until(lambda: first.status()['peers'])
 
 
-def test_address_that_is_none_is_a_fault(
+def test_invalid_address_is_an_error(
     tmp_path: pathlib.Path,
     capsys: pytest.CaptureFixture[str],
 ):
@@ -241,7 +241,7 @@
     assert 'settings.yaml:1: callers: ' in capsys.readouterr().err
 
 
-def test_all_faults_of_the_settings_are_told_with_their_lines(
+def test_all_errors_of_the_settings_have_line_numbers(
     tmp_path: pathlib.Path,
     capsys: pytest.CaptureFixture[str],
 ):
--- a/tests/test_gateway_follower.py
+++ b/tests/test_gateway_follower.py
@@ -113,20 +113,20 @@
     site.stop()
 
 
-def test_list_comes_first(site: _FollowerSite):
+def test_follower_lists_before_it_watches(site: _FollowerSite):
     site.start()
     wait_until(lambda: len(site.store.calls) >= 2)
     assert site.store.calls[:2] == ['list', 'watch 7']
 
 
-def test_what_a_peer_gave_need_not_be_listed(site: _FollowerSite):
+def test_objects_from_a_peer_are_not_listed_again(site: _FollowerSite):
     site.replica.apply_peer_changes(make_reading(5))
     site.start()
     wait_until(lambda: site.store.calls)
     assert site.store.calls[0] == 'watch 5'
 
 
-def test_gateway_that_need_not_watch_makes_no_call(site: _FollowerSite):
+def test_gateway_off_watch_duty_makes_no_call(site: _FollowerSite):
     site.holds_watch = False
     site.replica.apply_peer_changes(make_reading(5))
     site.start()
@@ -134,7 +134,7 @@
     assert not site.store.calls
 
 
-def test_forgotten_history_is_listed_though_a_peer_gave(site: _FollowerSite):
+def test_dropped_history_is_listed_despite_peer_objects(site: _FollowerSite):
     site.replica.apply_peer_changes(make_reading(5))
     site.store.status = HTTP_GONE
     site.start()
@@ -142,14 +142,14 @@
     assert site.store.calls[:2] == ['watch 5', 'list']
 
 
-def test_lost_store_is_asked_often_by_those_that_lead_only():
+def test_only_leading_gateways_retry_a_lost_store_often():
     assert retry_delay_ms(200, leads=True) == 200
     assert retry_delay_ms(200, leads=False) == 200
     assert retry_delay_ms(4000, leads=True) == 800
     assert retry_delay_ms(4000, leads=False) == 4000
 
 
-def test_store_that_was_lost_is_found_again(site: _FollowerSite):
+def test_follower_recovers_when_a_lost_store_is_back(site: _FollowerSite):
     site.store.status = HTTP_UNAVAILABLE
     site.start()
     wait_until(lambda: len(site.store.calls) > 2)
@@ -158,7 +158,7 @@
     wait_until(lambda: site.replica.revision)
 
 
-def test_changes_in_quick_succession_are_read_together(site: _FollowerSite):
+def test_changes_in_quick_succession_share_a_call(site: _FollowerSite):
     site.start()
     wait_until(lambda: len(site.store.calls) >= 3)
     # The stand-in has a change at each watch: without a pause, hundreds.
@@ -168,7 +168,7 @@
     assert len(site.store.calls) - before <= pauses + 2
 
 
-def test_lost_store_is_asked_without_a_wait_until_it_is_back(
+def test_watches_of_a_lost_store_are_brief(
     site: _FollowerSite,
 ):
     site.replica.apply_peer_changes(make_reading(5))
@@ -180,7 +180,7 @@
     wait_until(lambda: not site.store.brief[-1])
 
 
-def test_gateway_that_steps_in_hears_the_store_without_a_wait(
+def test_first_watch_after_a_takeover_is_brief(
     site: _FollowerSite,
 ):
     site.replica.apply_peer_changes(make_reading(5))
@@ -192,7 +192,7 @@
     assert site.store.brief[:2] == [True, False]
 
 
-def test_store_is_heard_as_long_as_a_long_answer_comes(site: _FollowerSite):
+def test_progress_of_a_long_answer_counts_as_answered(site: _FollowerSite):
     site.start()
     wait_until(lambda: site.store.brief)
     gevent.sleep(0.1)
@@ -202,7 +202,7 @@
     assert site.follower.has_answered(within_ms)
 
 
-def test_store_that_forgot_its_history_is_not_lost(site: _FollowerSite):
+def test_store_that_dropped_its_history_has_answered(site: _FollowerSite):
     answered: list[bool] = []
     list_all = site.store.list_all
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -46,7 +46,7 @@
         world.share_delivered(paused)
 
 
-def test_each_window_is_reported_once_by_one(world: LeaseWorld):
+def test_each_window_is_reported_once_by_one_gateway(world: LeaseWorld):
     run_for(world, 6 * WINDOW_MS)
     assert not world.platform.violations
     assert len(world.platform.reports) == len(world.platform.acts)
@@ -54,7 +54,7 @@
     assert len({machine for _ms, machine, _token in world.platform.acts}) == 1
 
 
-def test_a_window_costs_one_call_to_the_store(world: LeaseWorld):
+def test_window_costs_one_store_call(world: LeaseWorld):
     run_for(world, 2 * WINDOW_MS)
     holder = next(each for each in world.gateways if each.lease.held)
     before, reported = world.store.calls, len(world.platform.reports)
@@ -65,7 +65,7 @@
     assert calls == len(world.platform.reports) - reported == 2
 
 
-def test_holder_that_falls_silent_is_replaced_in_time(world: LeaseWorld):
+def test_paused_holder_is_replaced_before_deadline(world: LeaseWorld):
     run_for(world, 2 * WINDOW_MS)
     holder = next(
         number for number, each in enumerate(world.gateways) if each.lease.held
@@ -82,7 +82,7 @@
     assert not world.platform.violations
 
 
-def test_lease_that_was_given_back_waits_for_counts_alone(world: LeaseWorld):
+def test_next_holder_after_release_waits_only_for_counts(world: LeaseWorld):
     run_for(world, 2 * WINDOW_MS)
     holder = next(each for each in world.gateways if each.lease.held)
     holder.stop()
@@ -104,7 +104,7 @@
     assert not world.platform.violations
 
 
-def test_token_rises_when_the_object_is_made_anew(world: LeaseWorld):
+def test_token_increases_when_lease_is_recreated(world: LeaseWorld):
     run_for(world, 2 * WINDOW_MS)
     before = world.platform.acts[-1][2]
     world.store.delete()
@@ -113,7 +113,7 @@
     assert not world.platform.violations
 
 
-def test_late_write_of_the_lease_is_found_again(world: LeaseWorld):
+def test_delayed_lease_write_is_detected(world: LeaseWorld):
     world.faults = ['ok', 'late']
     first = world.gateways[0]
     world.clock.advance(WINDOW_MS + 2500)
@@ -136,7 +136,7 @@
     return holder, other
 
 
-def test_next_holder_waits_for_what_is_on_its_way(world: LeaseWorld):
+def test_next_holder_waits_for_reports_in_flight(world: LeaseWorld):
     holder, other = make_window_overdue(world)
     # During the write, its answer, and then the sending of the report.
     world.during_calls = [do_nothing, do_nothing, other.step]
@@ -148,7 +148,7 @@
     assert not world.platform.violations
 
 
-def test_holder_that_waits_is_left_alone(world: LeaseWorld):
+def test_waiting_holder_is_not_replaced(world: LeaseWorld):
     run_for(world, 2 * WINDOW_MS)
     (holder,) = [
         number for number, each in enumerate(world.gateways) if each.lease.held
@@ -163,7 +163,7 @@
     assert len(world.platform.acts) > before
 
 
-def test_report_that_is_on_its_way_for_too_long_is_reset(world: LeaseWorld):
+def test_report_in_flight_for_too_long_is_reset(world: LeaseWorld):
     holder, other = make_window_overdue(world)
 
     def take_over() -> None:
@@ -177,7 +177,7 @@
     assert not world.platform.violations
 
 
-def test_holder_that_comes_back_waits_for_a_whole_lease(world: LeaseWorld):
+def test_returning_holder_waits_for_whole_lease(world: LeaseWorld):
     holder, other = make_window_overdue(world)
     holder.step()
     acted_ms = world.platform.acts[-1][0]
@@ -194,7 +194,7 @@
     assert holder.lease.can_act
 
 
-def test_process_that_has_started_stands_after_a_whole_lease(
+def test_started_process_polls_lease_after_whole_lease(
     world: LeaseWorld,
 ):
     holder, _other = make_window_overdue(world)
@@ -213,13 +213,13 @@
 
 
 @pytest.mark.parametrize('spec', [None, 7, {}, {'holder': 'x'}, 'text'])
-def test_what_is_no_lease_is_held_by_nobody_that_acts(spec: object):
+def test_invalid_lease_record_has_no_reports(spec: object):
     record = read_lease_record(spec)
     assert not record.is_released
     assert not record.reports
 
 
-def test_record_survives_the_store():
+def test_lease_record_round_trip():
     record = LeaseRecord(
         holder='g/1', name='g', token=4, decided=8, reports={8: {'a': 2}}
     )
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -83,7 +83,7 @@
         b'X-Request-Priority',
     ],
 )
-def test_callers_cannot_set_what_is_the_gateways(name: bytes):
+def test_callers_cannot_set_gateway_headers(name: bytes):
     swapped_case = (name.swapcase(), b'theirs')
     received = sent_headers(
         (name, b'theirs'),
@@ -93,7 +93,7 @@
     assert b'theirs' not in received.get(name.lower(), [])
 
 
-def test_callers_copy_is_replaced_by_the_gateways():
+def test_gateway_headers_replace_callers_headers():
     received = sent_headers(
         (b'x-kv-BACKUP', b'theirs'),
         (b'Kv-From', b'theirs'),
@@ -117,7 +117,7 @@
     return int(priority)
 
 
-def test_more_urgent_route_goes_first_at_engines_whoever_the_customer():
+def test_route_tier_sets_priority_at_engines_for_all_customers():
     """Priority at engines follows the route's tier, not the customer's.
 
     A full engine displaces the newest of the least urgent prompts. Prompts of
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -61,21 +61,21 @@
     )
 
 
-def test_first_steps_in_at_once_if_no_holder_is_heard(policy: TakeoverPolicy):
+def test_first_gateway_takes_over_at_once_without_connected_holder(policy: TakeoverPolicy):
     assert required_wait_ms(policy) == 0
 
 
-def test_each_waits_for_those_before_it(policy: TakeoverPolicy, peers: FakePeers):
+def test_gateway_waits_for_its_predecessors(policy: TakeoverPolicy, peers: FakePeers):
     peers.fields['before'] = 2
     assert required_wait_ms(policy) == 600
 
 
-def test_holder_that_is_heard_is_waited_for(policy: TakeoverPolicy, peers: FakePeers):
+def test_gateway_waits_for_connected_holder(policy: TakeoverPolicy, peers: FakePeers):
     peers.fields['holder_heard'] = True
     assert required_wait_ms(policy) == 1500
 
 
-def test_one_that_has_just_started_goes_behind_others(
+def test_new_gateway_waits_extra_turns(
     clock: ManualClock, peers: FakePeers
 ):
     policy = TakeoverPolicy(
@@ -91,38 +91,38 @@
     assert required_wait_ms(policy) == 900
 
 
-def test_one_that_stops_does_not_stand(policy: TakeoverPolicy, peers: FakePeers):
+def test_stopping_gateway_does_not_take_over(policy: TakeoverPolicy, peers: FakePeers):
     peers.is_stopping = True
     assert not policy.should_poll_lease(20_000)
 
 
-def test_looks_are_half_a_second_apart(clock: ManualClock, policy: TakeoverPolicy):
+def test_lease_polls_are_half_a_second_apart(clock: ManualClock, policy: TakeoverPolicy):
     assert policy.should_poll_lease(1000)
     assert not policy.should_poll_lease(1000)
     clock.advance(500)
     assert policy.should_poll_lease(1000)
 
 
-def test_last_gateway_that_is_left_stands(policy: TakeoverPolicy, peers: FakePeers):
+def test_last_running_gateway_takes_over(policy: TakeoverPolicy, peers: FakePeers):
     # Seeds stay known after they have ended.
     peers.fields['heard'] = frozenset()
     assert required_wait_ms(policy) == 3000
     assert policy.should_take_over(HELD_LEASE, 0, decided=False)
 
 
-def test_gateway_that_is_cut_off_leaves_the_holder_alone(
+def test_partitioned_gateway_does_not_replace_holder(
     policy: TakeoverPolicy, peers: FakePeers
 ):
     peers.fields['heard'] = frozenset()
     assert not policy.should_take_over(HELD_LEASE, 20_000, decided=True)
 
 
-def test_holder_that_is_heard_has_a_lease_of_time(policy: TakeoverPolicy):
+def test_connected_holder_has_whole_lease_to_act(policy: TakeoverPolicy):
     assert not policy.should_take_over(HELD_LEASE, LEASE_MS - 1, decided=False)
     assert policy.should_take_over(HELD_LEASE, LEASE_MS, decided=False)
 
 
-def test_holder_of_a_short_lease_has_time_to_hear_counts(
+def test_holder_of_short_lease_has_time_to_receive_counts(
     clock: ManualClock, peers: FakePeers
 ):
     # Two gateways took a lease of 1.2 s from each other every 1.6 s, while a
@@ -138,7 +138,7 @@
     assert policy.should_take_over(HELD_LEASE, 2500, decided=False)
 
 
-def test_holder_that_is_gone_is_replaced_at_once(policy: TakeoverPolicy):
+def test_disconnected_holder_is_replaced_at_once(policy: TakeoverPolicy):
     disconnected = LeaseRecord(holder='d/1', name='d')
     assert policy.should_take_over(disconnected, 0, decided=True)
     assert policy.should_take_over(LeaseRecord(), 0, decided=False)
--- a/tests/test_stored_objects.py
+++ b/tests/test_stored_objects.py
@@ -128,7 +128,7 @@
 
 
 @given(before=MIXED_ENTRIES, after=MIXED_ENTRIES)
-def test_list_keeps_the_sound_entries(before: list[Any], after: list[Any]):
+def test_list_applies_the_valid_entries(before: list[Any], after: list[Any]):
     listed = [*before, stored_endpoint('one'), *after, stored_endpoint('two')]
     body = parse_answer(orjson.dumps({'items': listed, 'more': False, 'at': 9}))
     reading, more = body.bind(read_page).unwrap()
@@ -137,7 +137,7 @@
 
 
 @given(before=MIXED_ENTRIES, after=MIXED_ENTRIES)
-def test_watch_keeps_the_sound_entries(before: list[Any], after: list[Any]):
+def test_watch_applies_the_valid_entries(before: list[Any], after: list[Any]):
     events = [
         *({'gone': False, 'object': each} for each in before),
         {'gone': False, 'object': stored_endpoint('one')},
@@ -148,7 +148,7 @@
 
 
 @given(random_bytes=st.binary(max_size=30))
-def test_bytes_inside_a_text_spoil_that_text_alone(random_bytes: bytes):
+def test_invalid_bytes_in_a_string_affect_one_entry(random_bytes: bytes):
     corrupt = {
         **stored_endpoint('bad'),
         'spec': {**VALID_ENDPOINT, 'service': '#mark#'},
@@ -161,7 +161,7 @@
 
 
 @given(answer=st.binary() | ANY_VALUE.map(orjson.dumps))
-def test_any_answer_is_a_reading_or_a_failure(answer: bytes):
+def test_any_answer_is_parsed_or_a_failure(answer: bytes):
     for read in (read_page, read_changes):
         outcome = parse_answer(answer).bind(read)
         assert isinstance(outcome, Success) or outcome.failure().status == 200
@@ -173,7 +173,7 @@
         lambda route: {**VALID_ROUTES, 'version': 9, 'routes': [route]}
     )
 )
-def test_any_configuration_is_put_in_force_or_changes_nothing(spec: Any):
+def test_any_configuration_is_applied_or_changes_nothing(spec: Any):
     state = make_state()
     applier = ObjectApplier(state=state)
     replica = ObjectReplica(kind=ROUTES_KIND, listener=applier.apply_routes)
@@ -192,7 +192,7 @@
     | st.binary().map(zlib.compress)
     | ANY_VALUE.map(lambda entries: zlib.compress(msgpack.packb(entries)))
 )
-def test_what_a_peer_packs_is_objects_or_a_broken_protocol(packed: bytes):
+def test_packed_objects_are_decoded_or_a_wire_error(packed: bytes):
     with contextlib.suppress(WireError):
         unpack_objects(packed)
 
@@ -200,12 +200,12 @@
 @given(
     entries=ANY_VALUE | st.lists(st.tuples(st.text(), ANY_VALUE, st.binary()))
 )
-def test_whole_objects_of_a_peer_are_read_or_a_broken_protocol(entries: Any):
+def test_whole_objects_are_decoded_or_a_wire_error(entries: Any):
     with contextlib.suppress(WireError):
         decode_objects(entries)
 
 
-def test_entry_too_deep_to_be_passed_on_is_told_as_none():
+def test_too_deeply_nested_object_is_sent_as_text():
     nested: list[Any] = []
     for _level in range(600):
         nested = [nested]
@@ -226,7 +226,7 @@
 
 
 @pytest.mark.parametrize('endpoint_first', [False, True])
-def test_engines_memory_is_what_the_newest_configuration_says(
+def test_cache_capacity_follows_the_newest_configuration(
     endpoint_first: bool,
 ):
     state = make_state()
