--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -17,7 +17,7 @@
 from wingfall.errors import PlatformError
 from wingfall.gateway.duties.duty import DutyTerms
 from wingfall.gateway.duties.lease import Lease
-from wingfall.gateway.duties.standing import PeerSnapshot, TakeoverPolicy
+from wingfall.gateway.duties.takeover import PeerSnapshot, TakeoverPolicy
 from wingfall.gateway.duties.usage_duty import UsageDuty
 from wingfall.gateway.knowledge.true_time import TrueTime
 from wingfall.gateway.knowledge.usage_counts import UsageCounts
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -5,7 +5,7 @@
 import pytest
 
 from wingfall.clock import ManualClock
-from wingfall.gateway.duties.standing import PeerSnapshot, TakeoverPolicy
+from wingfall.gateway.duties.takeover import PeerSnapshot, TakeoverPolicy
 from wingfall.gateway.model.duty import LeaseRecord
 
 LEASE_MS = 3000
--- a/wingfall/gateway/duties/assembly.py
+++ b/wingfall/gateway/duties/assembly.py
@@ -11,7 +11,7 @@
 from wingfall.gateway.duties import usage_duty
 from wingfall.gateway.duties.duty import DutyTerms, duties
 from wingfall.gateway.duties.lease import Lease
-from wingfall.gateway.duties.standing import PeerSnapshot, TakeoverPolicy
+from wingfall.gateway.duties.takeover import PeerSnapshot, TakeoverPolicy
 from wingfall.gateway.knowledge.true_time import TrueTime
 from wingfall.gateway.knowledge.usage_counts import UsageCounts
 from wingfall.log import log_event
--- a/wingfall/gateway/duties/duty.py
+++ b/wingfall/gateway/duties/duty.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from wingfall.clock import Clock
     from wingfall.gateway.duties.lease import Lease
-    from wingfall.gateway.duties.standing import TakeoverPolicy
+    from wingfall.gateway.duties.takeover import TakeoverPolicy
     from wingfall.gateway.knowledge.usage_counts import UsageCounts
     from wingfall.gateway.model.duty import DutyCalls
     from wingfall.metrics import Metrics
--- a/wingfall/gateway/duties/usage_duty.py
+++ b/wingfall/gateway/duties/usage_duty.py
@@ -12,14 +12,14 @@
 from returns.result import Success
 
 from wingfall.gateway.duties.duty import DutyTerms, duties
-from wingfall.gateway.duties.standing import COUNTS_RECEIVED_MS
+from wingfall.gateway.duties.takeover import COUNTS_RECEIVED_MS
 from wingfall.gateway.model.duty import UsageReport
 from wingfall.log import log_event
 
 if TYPE_CHECKING:
     from wingfall.clock import Clock
     from wingfall.gateway.duties.lease import Lease
-    from wingfall.gateway.duties.standing import TakeoverPolicy
+    from wingfall.gateway.duties.takeover import TakeoverPolicy
     from wingfall.gateway.knowledge.usage_counts import UsageCounts
     from wingfall.gateway.model.duty import DutyCalls
     from wingfall.metrics import Metrics
--- a/wingfall/gateway/peers/peer_view.py
+++ b/wingfall/gateway/peers/peer_view.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, final
 
-from wingfall.gateway.duties.standing import PeerSnapshot
+from wingfall.gateway.duties.takeover import PeerSnapshot
 from wingfall.gateway.peers.heartbeat_schedule import max_seen_age_ms
 from wingfall.gateway.peers.watch_duty import (
     WATCHER_COUNT,
