--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -52,7 +52,9 @@
         {'body': ()},
     ],
 )
-def test_different_requests_have_different_fingerprints(changed: dict[str, object]):
+def test_different_requests_have_different_fingerprints(
+    changed: dict[str, object],
+):
     assert fingerprint(**changed) != fingerprint()
 
 
--- a/tests/test_gateway_config.py
+++ b/tests/test_gateway_config.py
@@ -123,7 +123,9 @@
     assert caller.receive().status == 200
 
 
-def test_peers_send_objects_while_the_store_is_unreachable(gateway_site: GatewaySite):
+def test_peers_send_objects_while_the_store_is_unreachable(
+    gateway_site: GatewaySite,
+):
     gateway_site.add_server('one')
     first = gateway_site.add_gateway()
     # The second gateway has a store address that refuses connections.
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -61,23 +61,27 @@
     )
 
 
-def test_first_gateway_takes_over_at_once_without_connected_holder(policy: TakeoverPolicy):
+def test_first_gateway_takes_over_at_once_without_connected_holder(
+    policy: TakeoverPolicy,
+):
     assert required_wait_ms(policy) == 0
 
 
-def test_gateway_waits_for_its_predecessors(policy: TakeoverPolicy, peers: FakePeers):
+def test_gateway_waits_for_its_predecessors(
+    policy: TakeoverPolicy, peers: FakePeers
+):
     peers.fields['before'] = 2
     assert required_wait_ms(policy) == 600
 
 
-def test_gateway_waits_for_connected_holder(policy: TakeoverPolicy, peers: FakePeers):
+def test_gateway_waits_for_connected_holder(
+    policy: TakeoverPolicy, peers: FakePeers
+):
     peers.fields['holder_heard'] = True
     assert required_wait_ms(policy) == 1500
 
 
-def test_new_gateway_waits_extra_turns(
-    clock: ManualClock, peers: FakePeers
-):
+def test_new_gateway_waits_extra_turns(clock: ManualClock, peers: FakePeers):
     policy = TakeoverPolicy(
         clock=clock,
         lease_ms=LEASE_MS,
@@ -91,19 +95,25 @@
     assert required_wait_ms(policy) == 900
 
 
-def test_stopping_gateway_does_not_take_over(policy: TakeoverPolicy, peers: FakePeers):
+def test_stopping_gateway_does_not_take_over(
+    policy: TakeoverPolicy, peers: FakePeers
+):
     peers.is_stopping = True
     assert not policy.should_poll_lease(20_000)
 
 
-def test_lease_polls_are_half_a_second_apart(clock: ManualClock, policy: TakeoverPolicy):
+def test_lease_polls_are_half_a_second_apart(
+    clock: ManualClock, policy: TakeoverPolicy
+):
     assert policy.should_poll_lease(1000)
     assert not policy.should_poll_lease(1000)
     clock.advance(500)
     assert policy.should_poll_lease(1000)
 
 
-def test_last_running_gateway_takes_over(policy: TakeoverPolicy, peers: FakePeers):
+def test_last_running_gateway_takes_over(
+    policy: TakeoverPolicy, peers: FakePeers
+):
     # Seeds stay known after they have ended.
     peers.fields['heard'] = frozenset()
     assert required_wait_ms(policy) == 3000
--- a/wingfall/gateway/configuration/follower.py
+++ b/wingfall/gateway/configuration/follower.py
@@ -147,7 +147,9 @@
         backoff_ms = self._backoff.take_ms()
         # A leading gateway may end meanwhile, so that this one has to lead.
         while True:
-            rest_ms = retry_delay_ms(backoff_ms, leads=self._is_leading()) * jitter
+            rest_ms = (
+                retry_delay_ms(backoff_ms, leads=self._is_leading()) * jitter
+            )
             if self._clock.now_ms() - failed_ms >= rest_ms:
                 return
             gevent.sleep(_POLL_INTERVAL_MS / MS_PER_S)
--- a/wingfall/gateway/duties/takeover.py
+++ b/wingfall/gateway/duties/takeover.py
@@ -107,7 +107,9 @@
         self._lease_ms = lease_ms
         # Longer than any holder needs until it acts; otherwise gateways would
         # take the lease from each other endlessly, and none would act.
-        self._holder_timeout_ms = max(lease_ms, COUNTS_RECEIVED_MS + _HOLDER_ACT_MS)
+        self._holder_timeout_ms = max(
+            lease_ms, COUNTS_RECEIVED_MS + _HOLDER_ACT_MS
+        )
         self._warmup_ms = warmup_ms
         self._snapshot_peers = snapshot_peers
         self._is_stopping = is_stopping
--- a/wingfall/gateway/model/binding.py
+++ b/wingfall/gateway/model/binding.py
@@ -115,10 +115,14 @@
     def endpoint_headers(self, call: Call, sending: AttemptRequest) -> Headers:
         """Return the headers of a request to an endpoint."""
 
-    def prefix_cache_request(self, endpoint: PoolEndpoint) -> tuple[bytes, Headers]:
+    def prefix_cache_request(
+        self, endpoint: PoolEndpoint
+    ) -> tuple[bytes, Headers]:
         """Return path and headers to query an engine's prompt cache."""
 
-    def read_prefix_cache(self, body: bytes) -> Result[tuple[PromptPart, ...], str]:
+    def read_prefix_cache(
+        self, body: bytes
+    ) -> Result[tuple[PromptPart, ...], str]:
         """Read the prompt parts that an engine reports as cached."""
 
     def read_answer(self, status: int, headers: Headers) -> AnswerHead:
--- a/wingfall/gateway/peers/caches/memory_survey.py
+++ b/wingfall/gateway/peers/caches/memory_survey.py
@@ -137,7 +137,9 @@
         ]
 
     def _query(self, engine: PoolEndpoint) -> None:
-        answer = self._fetch_memory(engine).bind(self._binding.read_prefix_cache)
+        answer = self._fetch_memory(engine).bind(
+            self._binding.read_prefix_cache
+        )
         if isinstance(answer, Success):
             self._knowledge.caches.note_cached(engine.name, answer.unwrap())
         log_event(
--- a/wingfall/platform/binding.py
+++ b/wingfall/platform/binding.py
@@ -82,11 +82,15 @@
         """Write the headers of a request to an endpoint."""
         return endpoint_headers(call, sending)
 
-    def prefix_cache_request(self, endpoint: PoolEndpoint) -> tuple[bytes, Headers]:
+    def prefix_cache_request(
+        self, endpoint: PoolEndpoint
+    ) -> tuple[bytes, Headers]:
         """Give path and headers of the question what an engine keeps."""
         return _MEMORY_PATH, memory_headers(endpoint)
 
-    def read_prefix_cache(self, body: bytes) -> Result[tuple[PromptPart, ...], str]:
+    def read_prefix_cache(
+        self, body: bytes
+    ) -> Result[tuple[PromptPart, ...], str]:
         """Read the parts of prompts that an engine says it keeps."""
         return read_prefix_cache(body)
 
