--- a/tests/test_deferred_calls.py
+++ b/tests/test_deferred_calls.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from wingfall.gateway.rules.admission.deferred_calls import (
+from wingfall.gateway.rules.admission.held_calls import (
     AdmissionSlots,
     DeferredCalls,
 )
--- a/wingfall/gateway/calls/withheld_pool.py
+++ b/wingfall/gateway/calls/withheld_pool.py
@@ -9,7 +9,7 @@
 from wingfall.gateway.calls.attempt_outcome import AttemptOutcome
 from wingfall.gateway.model.attempt_end import AttemptEnd
 from wingfall.gateway.model.held import WithholdReason
-from wingfall.gateway.rules.admission.deferred_calls import AdmissionSlots
+from wingfall.gateway.rules.admission.held_calls import AdmissionSlots
 from wingfall.gateway.rules.admission.refusals import refuse_withheld
 from wingfall.log import log_event
 
