--- a/wingfall/gateway/knowledge/shared_rates.py
+++ b/wingfall/gateway/knowledge/shared_rates.py
@@ -17,7 +17,7 @@
     MIN_SAMPLE_TOKENS,
     MIN_TOKENS_PER_MS,
 )
-from wingfall.gateway.knowledge.fixed_overhead import FixedOverhead
+from wingfall.gateway.knowledge.fixed_start import FixedOverhead
 from wingfall.gateway.knowledge.reading_window import PrefillRateWindow
 
 if TYPE_CHECKING:
