--- a/tests/load_replay.py
+++ b/tests/load_replay.py
@@ -41,9 +41,9 @@
 from wingfall.gateway.model.routes import CallerLimits, Pool, Routes
 from wingfall.gateway.peers.heartbeat_schedule import heartbeat_interval_ms
 from wingfall.gateway.peers.loads.load_exchange import LoadExchange
-from wingfall.gateway.rules.admission.held_calls import DeferredCalls
 from wingfall.gateway.rules.admission.early_refusal import admissions
 from wingfall.gateway.rules.admission.fair_shares import FairShares
+from wingfall.gateway.rules.admission.held_calls import DeferredCalls
 from wingfall.gateway.rules.pacing.rate_share import share_among_few
 from wingfall.gateway.rules.placement.cache_transfer import copy_nothing
 from wingfall.gateway.rules.placement.endpoint_choice import place_by_cost
--- a/wingfall/gateway/state.py
+++ b/wingfall/gateway/state.py
@@ -7,8 +7,8 @@
 
 from typing import TYPE_CHECKING, final
 
-from wingfall.gateway.rules.admission.held_calls import DeferredCalls
 from wingfall.gateway.rules.admission.fair_shares import FairShares
+from wingfall.gateway.rules.admission.held_calls import DeferredCalls
 from wingfall.gateway.rules.placement.reserved_engines import ReservedEngines
 
 if TYPE_CHECKING:
