--- a/wingfall/gateway/duties/lease.py
+++ b/wingfall/gateway/duties/lease.py
@@ -217,7 +217,7 @@
         released = self._write(record)
         self._token = 0
         log_event(
-            'lease', 'The lease was released.', token=token, done=released
+            'lease', 'The lease was given back.', token=token, done=released
         )
 
     def _write(self, record: LeaseRecord) -> bool:
