--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -245,7 +245,7 @@
 
     def _snapshot_peers(self) -> PeerSnapshot:
         return PeerSnapshot(
-            before=self._position,
+            predecessor_count=self._position,
             heard=self._world.connected - {self.name},
             known=2,
             holder_heard=self._world.holder_heard,
--- a/wingfall/gateway/duties/takeover.py
+++ b/wingfall/gateway/duties/takeover.py
@@ -43,24 +43,24 @@
 class PeerSnapshot:
     """A snapshot of the other gateways as seen by one gateway."""
 
-    __slots__ = ('before', 'heard', 'holder_heard', 'known')
+    __slots__ = ('predecessor_count', 'heard', 'holder_heard', 'known')
 
     def __init__(
         self,
         *,
-        before: int,
+        predecessor_count: int,
         heard: Collection[str],
         known: int,
         holder_heard: bool,
     ) -> None:
         """Create a snapshot.
 
-        :param before: number of peers that precede this gateway.
+        :param predecessor_count: number of peers that precede this gateway.
         :param heard: names of the connected peers.
         :param known: number of other gateways that may exist.
         :param holder_heard: whether a peer reports that it holds the lease.
         """
-        self.before = before
+        self.predecessor_count = predecessor_count
         self.heard = heard
         self.known = known
         self.holder_heard = holder_heard
@@ -127,7 +127,7 @@
         if uptime_ms <= self._lease_ms or self._is_stopping():
             return False
         snapshot = self._snapshot_peers()
-        turns = snapshot.before
+        turns = snapshot.predecessor_count
         if snapshot.sees_minority:
             turns += _MINORITY_TURNS
         if uptime_ms < self._warmup_ms:
--- a/wingfall/gateway/peers/peer_view.py
+++ b/wingfall/gateway/peers/peer_view.py
@@ -72,7 +72,7 @@
         """
         within_ms = max_seen_age_ms(len(self._sessions))
         return PeerSnapshot(
-            before=len(self._preceding_peers(within_ms)),
+            predecessor_count=len(self._preceding_peers(within_ms)),
             heard=frozenset(self._sessions),
             known=self._addresses.count,
             holder_heard=any(
