--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -246,7 +246,7 @@
     def _snapshot_peers(self) -> PeerSnapshot:
         return PeerSnapshot(
             predecessor_count=self._position,
-            heard=self._world.connected - {self.name},
+            connected=self._world.connected - {self.name},
             known=2,
             holder_heard=self._world.holder_heard,
         )
--- a/wingfall/gateway/duties/takeover.py
+++ b/wingfall/gateway/duties/takeover.py
@@ -43,32 +43,32 @@
 class PeerSnapshot:
     """A snapshot of the other gateways as seen by one gateway."""
 
-    __slots__ = ('predecessor_count', 'heard', 'holder_heard', 'known')
+    __slots__ = ('predecessor_count', 'connected', 'holder_heard', 'known')
 
     def __init__(
         self,
         *,
         predecessor_count: int,
-        heard: Collection[str],
+        connected: Collection[str],
         known: int,
         holder_heard: bool,
     ) -> None:
         """Create a snapshot.
 
         :param predecessor_count: number of peers that precede this gateway.
-        :param heard: names of the connected peers.
+        :param connected: names of the connected peers.
         :param known: number of other gateways that may exist.
         :param holder_heard: whether a peer reports that it holds the lease.
         """
         self.predecessor_count = predecessor_count
-        self.heard = heard
+        self.connected = connected
         self.known = known
         self.holder_heard = holder_heard
 
     @property
     def sees_minority(self) -> bool:
         """Whether fewer than half of the other gateways are connected."""
-        return 2 * len(self.heard) < self.known
+        return 2 * len(self.connected) < self.known
 
 
 @final
@@ -162,6 +162,6 @@
         if snapshot.sees_minority and decided:
             # The holder acts but is not connected to this gateway.
             return False
-        if not record.holder or record.name not in snapshot.heard:
+        if not record.holder or record.name not in snapshot.connected:
             return True
         return unchanged_ms >= self._holder_timeout_ms
--- a/wingfall/gateway/peers/peer_view.py
+++ b/wingfall/gateway/peers/peer_view.py
@@ -73,7 +73,7 @@
         within_ms = max_seen_age_ms(len(self._sessions))
         return PeerSnapshot(
             predecessor_count=len(self._preceding_peers(within_ms)),
-            heard=frozenset(self._sessions),
+            connected=frozenset(self._sessions),
             known=self._addresses.count,
             holder_heard=any(
                 each.holds_lease for each in self._sessions.values()
