--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -247,7 +247,7 @@
         return PeerSnapshot(
             predecessor_count=self._position,
             connected=self._world.connected - {self.name},
-            known=2,
+            known_count=2,
             holder_heard=self._world.holder_heard,
         )
 
--- a/wingfall/gateway/duties/takeover.py
+++ b/wingfall/gateway/duties/takeover.py
@@ -43,32 +43,32 @@
 class PeerSnapshot:
     """A snapshot of the other gateways as seen by one gateway."""
 
-    __slots__ = ('predecessor_count', 'connected', 'holder_heard', 'known')
+    __slots__ = ('predecessor_count', 'connected', 'holder_heard', 'known_count')
 
     def __init__(
         self,
         *,
         predecessor_count: int,
         connected: Collection[str],
-        known: int,
+        known_count: int,
         holder_heard: bool,
     ) -> None:
         """Create a snapshot.
 
         :param predecessor_count: number of peers that precede this gateway.
         :param connected: names of the connected peers.
-        :param known: number of other gateways that may exist.
+        :param known_count: number of other gateways that may exist.
         :param holder_heard: whether a peer reports that it holds the lease.
         """
         self.predecessor_count = predecessor_count
         self.connected = connected
-        self.known = known
+        self.known_count = known_count
         self.holder_heard = holder_heard
 
     @property
     def sees_minority(self) -> bool:
         """Whether fewer than half of the other gateways are connected."""
-        return 2 * len(self.connected) < self.known
+        return 2 * len(self.connected) < self.known_count
 
 
 @final
--- a/wingfall/gateway/peers/peer_view.py
+++ b/wingfall/gateway/peers/peer_view.py
@@ -74,7 +74,7 @@
         return PeerSnapshot(
             predecessor_count=len(self._preceding_peers(within_ms)),
             connected=frozenset(self._sessions),
-            known=self._addresses.count,
+            known_count=self._addresses.count,
             holder_heard=any(
                 each.holds_lease for each in self._sessions.values()
             ),
