--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -248,7 +248,7 @@
             predecessor_count=self._position,
             connected=self._world.connected - {self.name},
             known_count=2,
-            holder_heard=self._world.holder_heard,
+            holder_connected=self._world.holder_heard,
         )
 
 
--- a/wingfall/gateway/duties/takeover.py
+++ b/wingfall/gateway/duties/takeover.py
@@ -43,7 +43,7 @@
 class PeerSnapshot:
     """A snapshot of the other gateways as seen by one gateway."""
 
-    __slots__ = ('predecessor_count', 'connected', 'holder_heard', 'known_count')
+    __slots__ = ('predecessor_count', 'connected', 'holder_connected', 'known_count')
 
     def __init__(
         self,
@@ -51,19 +51,19 @@
         predecessor_count: int,
         connected: Collection[str],
         known_count: int,
-        holder_heard: bool,
+        holder_connected: bool,
     ) -> None:
         """Create a snapshot.
 
         :param predecessor_count: number of peers that precede this gateway.
         :param connected: names of the connected peers.
         :param known_count: number of other gateways that may exist.
-        :param holder_heard: whether a peer reports that it holds the lease.
+        :param holder_connected: whether a peer reports that it holds the lease.
         """
         self.predecessor_count = predecessor_count
         self.connected = connected
         self.known_count = known_count
-        self.holder_heard = holder_heard
+        self.holder_connected = holder_connected
 
     @property
     def sees_minority(self) -> bool:
@@ -132,7 +132,7 @@
             turns += _MINORITY_TURNS
         if uptime_ms < self._warmup_ms:
             turns += _WARMUP_TURNS
-        holder_delay_ms = _HOLDER_DELAY_MS if snapshot.holder_heard else 0
+        holder_delay_ms = _HOLDER_DELAY_MS if snapshot.holder_connected else 0
         if waited_ms < holder_delay_ms + turns * _TURN_DELAY_MS:
             return False
         now_ms = self._clock.now_ms()
--- a/wingfall/gateway/peers/peer_view.py
+++ b/wingfall/gateway/peers/peer_view.py
@@ -75,7 +75,7 @@
             predecessor_count=len(self._preceding_peers(within_ms)),
             connected=frozenset(self._sessions),
             known_count=self._addresses.count,
-            holder_heard=any(
+            holder_connected=any(
                 each.holds_lease for each in self._sessions.values()
             ),
         )
