--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -20,10 +20,10 @@
     def __init__(self) -> None:
         """Connect all peers, with the gateway under test first."""
         self.fields = {
-            'before': 0,
-            'heard': ALL_PEERS,
-            'known': 3,
-            'holder_heard': False,
+            'predecessor_count': 0,
+            'connected': ALL_PEERS,
+            'known_count': 3,
+            'holder_connected': False,
         }
         self.is_stopping = False
 
@@ -70,14 +70,14 @@
 def test_gateway_waits_for_its_predecessors(
     policy: TakeoverPolicy, peers: FakePeers
 ):
-    peers.fields['before'] = 2
+    peers.fields['predecessor_count'] = 2
     assert required_wait_ms(policy) == 600
 
 
 def test_gateway_waits_for_connected_holder(
     policy: TakeoverPolicy, peers: FakePeers
 ):
-    peers.fields['holder_heard'] = True
+    peers.fields['holder_connected'] = True
     assert required_wait_ms(policy) == 1500
 
 
@@ -115,7 +115,7 @@
     policy: TakeoverPolicy, peers: FakePeers
 ):
     # Seeds stay known after they have ended.
-    peers.fields['heard'] = frozenset()
+    peers.fields['connected'] = frozenset()
     assert required_wait_ms(policy) == 3000
     assert policy.should_take_over(HELD_LEASE, 0, decided=False)
 
@@ -123,7 +123,7 @@
 def test_partitioned_gateway_does_not_replace_holder(
     policy: TakeoverPolicy, peers: FakePeers
 ):
-    peers.fields['heard'] = frozenset()
+    peers.fields['connected'] = frozenset()
     assert not policy.should_take_over(HELD_LEASE, 20_000, decided=True)
 
 
--- a/wingfall/gateway/duties/takeover.py
+++ b/wingfall/gateway/duties/takeover.py
@@ -43,7 +43,12 @@
 class PeerSnapshot:
     """A snapshot of the other gateways as seen by one gateway."""
 
-    __slots__ = ('predecessor_count', 'connected', 'holder_connected', 'known_count')
+    __slots__ = (
+        'predecessor_count',
+        'connected',
+        'holder_connected',
+        'known_count',
+    )
 
     def __init__(
         self,
