--- a/tests/load_replay.py
+++ b/tests/load_replay.py
@@ -41,9 +41,9 @@
 from wingfall.gateway.model.routes import CallerLimits, Pool, Routes
 from wingfall.gateway.peers.heartbeat_schedule import heartbeat_interval_ms
 from wingfall.gateway.peers.loads.load_exchange import LoadExchange
-from wingfall.gateway.rules.admission.deferred_calls import DeferredCalls
 from wingfall.gateway.rules.admission.early_refusal import admissions
 from wingfall.gateway.rules.admission.fair_shares import FairShares
+from wingfall.gateway.rules.admission.held_calls import DeferredCalls
 from wingfall.gateway.rules.pacing.rate_share import share_among_few
 from wingfall.gateway.rules.placement.cache_transfer import copy_nothing
 from wingfall.gateway.rules.placement.endpoint_choice import place_by_cost
@@ -154,7 +154,7 @@
             for part in prompt.parts
             if part.part_id not in self.cached_parts
         )
-        self.cached_parts.update(part.part_id for part in prompt.shared)
+        self.cached_parts.update(part.part_id for part in prompt.shared_parts)
         begin_ms = max(now_ms, self._free_at_ms)
         self._free_at_ms = begin_ms + uncached / self._tokens_per_ms
         if uncached >= _CHUNK_TOKENS * _STEPS_PER_EVENT:
@@ -448,7 +448,7 @@
         note_given_work(call.gateway.state, call.call, to)
         sent = SentPrompt(
             endpoint=name,
-            parts=call.prompt.shared,
+            parts=call.prompt.shared_parts,
             uncached_tokens=uncached,
         )
         now_ms = self.clock.now_ms()
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -1,4 +1,4 @@
-"""Gateway processes report usage: once, truly and in time."""
+"""Tests that gateway processes report usage once, correctly and in time."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
     import pathlib
     from collections.abc import Iterator
 
-CALLERS = 8
+CALLER_COUNT = 8
 
 
 @pytest.fixture
 def site(tmp_path: pathlib.Path) -> Iterator[SoakSite]:
-    """Give three gateways that report usage."""
+    """Run three gateways that report usage."""
     platform = DutyPlatformStandIn(lease_s=LEASE_S)
     server = start_server(platform.app)
     running = SoakSite(
@@ -56,27 +56,27 @@
 
 
 def wait_for_reports(site: SoakSite, count: int) -> None:
-    """Wait until some more windows are reported."""
+    """Wait until a number of further windows is reported."""
     wanted = len(site.duty_platform.reports) + count
     wait_until(lambda: len(site.duty_platform.reports) >= wanted)
 
 
 @pytest.mark.processes
-def test_windows_are_reported_truly(site: SoakSite):
-    traffic = Traffic(site=site, seed=1, callers=CALLERS)
+def test_windows_are_reported_correctly(site: SoakSite):
+    traffic = Traffic(site=site, seed=1, callers=CALLER_COUNT)
     wait_for_reports(site, 6)
     traffic.stop()
     reports = site.duty_platform.reports
     assert len({act.token for act in site.duty_platform.acts}) == 1
     requests = sorted(sum(each.values()) for each in reports.values())
-    # The first may have begun before the callers.
+    # The first windows may have begun before the callers.
     assert requests[2] > 20
     assert not list(usage_is_reported(site, traffic.outcomes))
     assert not site.duty_platform.breaches
 
 
 @pytest.mark.processes
-def test_holder_that_is_killed_is_replaced_in_time(site: SoakSite):
+def test_killed_holder_is_replaced_without_missed_window(site: SoakSite):
     wait_for_reports(site, 2)
     holder = find_holder(site)
     site.gateways[holder].kill()
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.processes
-def test_holder_that_stops_hands_over(site: SoakSite):
+def test_stopping_holder_hands_over(site: SoakSite):
     wait_for_reports(site, 2)
     holder = find_holder(site)
     site.gateways[holder].signal(signal.SIGTERM)
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.processes
-def test_holder_that_is_paused_does_not_act_after_the_next(site: SoakSite):
+def test_paused_holder_does_not_act_after_takeover(site: SoakSite):
     wait_for_reports(site, 2)
     holder = find_holder(site)
     site.gateways[holder].signal(signal.SIGSTOP)
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.processes
-def test_what_an_outage_held_up_is_caught_up_in_order(site: SoakSite):
+def test_windows_are_reported_in_order_after_outage(site: SoakSite):
     wait_for_reports(site, 2)
     site.duty_platform.fault = 'down'
     gevent.sleep(WINDOW_S + 1)
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same, and what doesn't."""
+"""Tests of request fingerprints and body digests."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
     customer: str = 'oslo',
     body: tuple[bytes, ...] = (b'one', b'two'),
 ) -> bytes:
-    """Make the fingerprint of a request."""
+    """Return the fingerprint of a request."""
     head = read_call(method, target, [(b'Host', host), *headers])
     reader = BodyReader()
-    for piece in body:
-        reader.add(piece)
+    for chunk in body:
+        reader.add(chunk)
     return make_fingerprint(head, customer, reader.finish().digest)
 
 
@@ -35,7 +35,7 @@
         (b'Last-Event-Id', b'7'),
     ],
 )
-def test_what_differs_between_sendings_does_not_count(
+def test_attempt_headers_do_not_change_fingerprint(
     header: tuple[bytes, bytes],
 ):
     assert fingerprint(header) == fingerprint()
@@ -52,24 +52,26 @@
         {'body': ()},
     ],
 )
-def test_other_requests_have_other_fingerprints(changed: dict[str, object]):
+def test_different_requests_have_different_fingerprints(
+    changed: dict[str, object],
+):
     assert fingerprint(**changed) != fingerprint()
 
 
-def test_fields_do_not_run_into_each_other():
+def test_field_boundaries_change_fingerprint():
     first = fingerprint(target=b'/ab', customer='c')
     assert first != fingerprint(target=b'/a', customer='bc')
 
 
-def test_pieces_of_a_body_do_not_matter():
+def test_chunking_of_body_does_not_change_fingerprint():
     assert fingerprint(body=(b'onetwo',)) == fingerprint()
 
 
-def test_body_is_kept_and_digested_whole():
+def test_reader_returns_whole_body_and_digest():
     reader = BodyReader()
     reader.add(b'one')
     reader.add(b'two')
     body = reader.finish()
-    assert body.whole == b'onetwo'
+    assert body.payload == b'onetwo'
     assert body.digest == hashlib.blake2b(b'onetwo', digest_size=16).digest()
     assert reader.size == 6
--- a/tests/test_gateway_load.py
+++ b/tests/test_gateway_load.py
@@ -10,7 +10,7 @@
 from wingfall.gateway.knowledge.decaying_sum import DecayingSum
 from wingfall.gateway.knowledge.endpoint_table import EndpointTable
 from wingfall.gateway.knowledge.load import EndpointLoad, LoadTable
-from wingfall.gateway.model.object_store import StoredObject, StoreReading
+from wingfall.gateway.model.object_store import StoredObject, StoreResponse
 from wingfall.gateway.model.pool_endpoint import PoolEndpoint
 from wingfall.gateway.peers.loads.load_entries import (
     decode_loads,
@@ -141,9 +141,9 @@
     assert read.streams == load.streams
 
 
-def reading(revision: int, *objects: StoredObject) -> StoreReading:
+def reading(revision: int, *objects: StoredObject) -> StoreResponse:
     """Create a result of reading the store."""
-    return StoreReading(revision=revision, objects=list(objects))
+    return StoreResponse(revision=revision, objects=list(objects))
 
 
 def make_replica(changes: list[tuple[str, object]]) -> ObjectReplica:
@@ -196,10 +196,10 @@
     replica = make_replica([])
     replica.apply_changes(reading(5, stored('a', 5), stored('b', 4)))
     replica.apply_changes(reading(8, stored('a', 5, gone=True)))
-    (changed,) = replica.since(5)
+    (changed,) = replica.objects_since(5)
     assert changed.spec is None
     other = make_replica([])
-    assert other.catch_up(reading(8, *replica.since(0))) == 2
+    assert other.apply_peer_changes(reading(8, *replica.objects_since(0))) == 2
     assert other.revision == 8
 
 
--- a/wingfall/gateway/calls/attempt_tracker.py
+++ b/wingfall/gateway/calls/attempt_tracker.py
@@ -147,9 +147,9 @@
     def _note_usage(self, started_ms: int) -> None:
         # A call counts once, even if several endpoints run it.
         call, usage = self._call, self._state.usage
-        if usage is None or call.begun or call.customer is None:
+        if usage is None or call.run_started or call.customer is None:
             return
-        call.begun = True
+        call.run_started = True
         usage.note(call.customer.name, started_ms)
 
     def _note_crash_evidence(self, outcome: AttemptOutcome) -> None:
@@ -183,7 +183,7 @@
         self._state.knowledge.caches.note_sent(
             SentPrompt(
                 endpoint=name,
-                parts=prompt.shared,
+                parts=prompt.shared_parts,
                 uncached_tokens=uncached_tokens,
             ),
             self._state.clock.now_ms() + prefill_timeout_ms,
--- a/wingfall/gateway/duties/duty.py
+++ b/wingfall/gateway/duties/duty.py
@@ -1,4 +1,4 @@
-"""What duties have in common, and which there are."""
+"""The interface and the registry of duties."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from wingfall.clock import Clock
     from wingfall.gateway.duties.lease import Lease
-    from wingfall.gateway.duties.standing import Standing
+    from wingfall.gateway.duties.takeover import TakeoverPolicy
     from wingfall.gateway.knowledge.usage_counts import UsageCounts
     from wingfall.gateway.model.duty import DutyCalls
     from wingfall.metrics import Metrics
@@ -17,42 +17,43 @@
 
 @final
 class DutyTerms:
-    """When what is due, as the settings tell."""
+    """The window length and deadline of reports, from the settings."""
 
-    __slots__ = ('late_ms', 'window_ms')
+    __slots__ = ('deadline_ms', 'window_ms')
 
-    def __init__(self, *, window_ms: int, late_ms: int) -> None:
-        """Set the terms.
+    def __init__(self, *, window_ms: int, deadline_ms: int) -> None:
+        """Initialize the terms.
 
-        :param window_ms: length of a window.
-        :param late_ms: after its end a report counts for nothing.
+        :param window_ms: length of a window in milliseconds.
+        :param deadline_ms: milliseconds after the end of a window from which
+            its report is ignored.
         """
         self.window_ms = window_ms
-        self.late_ms = late_ms
+        self.deadline_ms = deadline_ms
 
 
 class Duty(Protocol):
-    """Something that one gateway at a time does."""
+    """A task that one gateway at a time performs."""
 
     def step(self) -> None:
-        """Do what is due now, if this gateway holds the lease or takes it."""
+        """Perform due work if this gateway holds or acquires the lease."""
 
 
 class DutyFactory(Protocol):
-    """How a duty is made."""
+    """A factory of duties."""
 
     def __call__(
         self,
         *,
         terms: DutyTerms,
         lease: Lease,
-        standing: Standing,
+        standing: TakeoverPolicy,
         counts: UsageCounts,
         calls: DutyCalls,
         clock: Clock,
         metrics: Metrics,
     ) -> Duty:
-        """Make the duty."""
+        """Create the duty."""
 
 
 duties: Final[Registry[DutyFactory]] = Registry(kind='duty')
--- a/wingfall/gateway/model/endpoint_leaving.py
+++ b/wingfall/gateway/model/endpoint_leaving.py
@@ -1,4 +1,4 @@
-"""An endpoint that has said that it is leaving."""
+"""Announcement of an endpoint that it is leaving."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 @final
 class EndpointLeaving:
-    """Who heard it, and when by this gateway's clock."""
+    """Source of the announcement, and its time by this gateway's clock."""
 
     __slots__ = ('received_ms', 'reported_by')
 
     def __init__(self, *, received_ms: int, reported_by: str) -> None:
-        """Describe a leaving.
+        """Create the record of an announcement.
 
-        :param received_ms: when the first answer said so.
-        :param reported_by: the gateway that had the answer.
+        :param received_ms: when the first such answer was received.
+        :param reported_by: the gateway that received the answer.
         """
         self.received_ms = received_ms
         self.reported_by = reported_by
--- a/wingfall/gateway/peers/caches/memory_survey.py
+++ b/wingfall/gateway/peers/caches/memory_survey.py
@@ -137,7 +137,9 @@
         ]
 
     def _query(self, engine: PoolEndpoint) -> None:
-        answer = self._fetch_memory(engine).bind(self._binding.read_memory)
+        answer = self._fetch_memory(engine).bind(
+            self._binding.read_prefix_cache
+        )
         if isinstance(answer, Success):
             self._knowledge.caches.note_cached(engine.name, answer.unwrap())
         log_event(
@@ -174,7 +176,7 @@
         engine: PoolEndpoint,
         connection: EndpointConnection,
     ) -> Result[bytes, str]:
-        target, headers = self._binding.memory_request(engine)
+        target, headers = self._binding.prefix_cache_request(engine)
         sent_ms = self._clock.now_ms()
         connection.send(b'GET', target, headers, b'')
         until_ms = self._clock.now_ms() + _ANSWER_TIMEOUT_MS
--- a/wingfall/gateway/peers/objects/object_exchange.py
+++ b/wingfall/gateway/peers/objects/object_exchange.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING, Final, final
 
-from wingfall.gateway.model.object_store import StoreReading
+from wingfall.gateway.model.object_store import StoreResponse
 from wingfall.gateway.peers.objects.object_fetch import ObjectFetch
 from wingfall.gateway.peers.objects.object_transfer import (
     OutgoingTransfer,
@@ -149,7 +149,7 @@
             return
         objects = [
             [each.name, each.revision, encode_spec(each)]
-            for each in replica.since(fetch.revision)
+            for each in replica.objects_since(fetch.revision)
         ]
         page = ObjectsPage(
             kind=fetch.kind,
@@ -167,7 +167,7 @@
         """
         if not page.size:
             objects = decode_objects(page.objects)
-            reading = StoreReading(revision=page.revision, objects=objects)
+            reading = StoreResponse(revision=page.revision, objects=objects)
             self._apply(session, page.kind, reading, 0)
             return
         fetch = self._fetches.get(page.kind)
@@ -202,7 +202,7 @@
     ) -> None:
         kind = fetch.kind
         if not fetch.offset:
-            changed = replica.since(fetch.revision)
+            changed = replica.objects_since(fetch.revision)
             session.outgoing_transfers[kind] = OutgoingTransfer(
                 revision=replica.revision,
                 packed=self._pack(kind, changed),
@@ -237,7 +237,7 @@
         self,
         session: PeerSession,
         kind: str,
-        reading: StoreReading,
+        reading: StoreResponse,
         size: int,
     ) -> None:
         replica = self._replicas.get(kind)
@@ -245,7 +245,7 @@
             return
         fetch = self._fetches.pop(kind, None)
         self._backoffs[kind].reset()
-        applied = replica.catch_up(reading)
+        applied = replica.apply_peer_changes(reading)
         asked_ms = fetch.started_ms if fetch else None
         log_event(
             'peers',
--- a/wingfall/platform/binding.py
+++ b/wingfall/platform/binding.py
@@ -8,7 +8,7 @@
 
 from wingfall.errors import ObjectFault
 from wingfall.gateway.model.binding import bindings
-from wingfall.platform.documents import read_memory, read_routes
+from wingfall.platform.documents import read_prefix_cache, read_routes
 from wingfall.platform.duty_calls import HttpDutyCalls
 from wingfall.platform.endpoint_entry import read_endpoint
 from wingfall.platform.headers import (
@@ -26,7 +26,7 @@
 
     from returns.result import Result
 
-    from wingfall.gateway.model.binding import AnswerHead, Sending
+    from wingfall.gateway.model.binding import AnswerHead, AttemptRequest
     from wingfall.gateway.model.call import Call, CallHead, Headers
     from wingfall.gateway.model.pool_endpoint import PoolEndpoint
     from wingfall.gateway.model.prompt import PromptPart
@@ -78,17 +78,21 @@
         """Read the head of a caller's request."""
         return read_call(method, target, headers)
 
-    def endpoint_headers(self, call: Call, sending: Sending) -> Headers:
+    def endpoint_headers(self, call: Call, sending: AttemptRequest) -> Headers:
         """Write the headers of a request to an endpoint."""
         return endpoint_headers(call, sending)
 
-    def memory_request(self, endpoint: PoolEndpoint) -> tuple[bytes, Headers]:
+    def prefix_cache_request(
+        self, endpoint: PoolEndpoint
+    ) -> tuple[bytes, Headers]:
         """Give path and headers of the question what an engine keeps."""
         return _MEMORY_PATH, memory_headers(endpoint)
 
-    def read_memory(self, body: bytes) -> Result[tuple[PromptPart, ...], str]:
+    def read_prefix_cache(
+        self, body: bytes
+    ) -> Result[tuple[PromptPart, ...], str]:
         """Read the parts of prompts that an engine says it keeps."""
-        return read_memory(body)
+        return read_prefix_cache(body)
 
     def read_answer(self, status: int, headers: Headers) -> AnswerHead:
         """Read the head of an endpoint's answer."""
